--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -14,18 +14,18 @@
     #[error("reply: {0}")]
     Output(#[source] io::Error),
     /// The input ends within a header.
-    #[error("frame: truncated in its header, {got} of {expected} bytes")]
+    #[error("frame: truncated in its header, {received} of {expected} bytes")]
     TruncatedHeader {
         /// Bytes that came.
-        got: usize,
+        received: usize,
         /// Bytes of a header.
         expected: usize,
     },
     /// The input ends within a frame.
-    #[error("frame: truncated, {got} of {expected} bytes after the header")]
+    #[error("frame: truncated, {received} of {expected} bytes after the header")]
     TruncatedFrame {
         /// Bytes that came.
-        got: usize,
+        received: usize,
         /// Bytes that the header announces.
         expected: usize,
     },
@@ -47,22 +47,22 @@
         source: FieldError,
     },
     /// A record can't be carried out.
-    #[error("record {record}: byte {at}: {source}")]
+    #[error("record {record}: byte {offset}: {source}")]
     Rejected {
         /// Its number in the frame.
         record: u32,
         /// Where it begins.
-        at: usize,
+        offset: usize,
         /// Why it can't be carried out.
         source: RecordError,
     },
     /// Bytes follow the last record.
-    #[error("byte {at}: {left} bytes left over after the last record")]
+    #[error("byte {offset}: {count} bytes left over after the last record")]
     TrailingBytes {
         /// Where they begin.
-        at: usize,
+        offset: usize,
         /// How many there are.
-        left: usize,
+        count: usize,
     },
 }
 
@@ -70,46 +70,46 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
     /// The bytes end within it.
-    #[error("byte {at}: truncated in {field}")]
+    #[error("byte {offset}: truncated in {field}")]
     Truncated {
         /// Where it begins.
-        at: usize,
+        offset: usize,
         /// Its name.
         field: &'static str,
     },
     /// It holds no number.
-    #[error("byte {at}: {field} is not finite")]
+    #[error("byte {offset}: {field} is not finite")]
     NotFinite {
         /// Where it begins.
-        at: usize,
+        offset: usize,
         /// Its name.
         field: &'static str,
     },
     /// It holds a number that means nothing.
-    #[error("byte {at}: {field} {value} is unknown")]
-    Unknown {
+    #[error("byte {offset}: {field} {value} is unknown")]
+    UnknownValue {
         /// Where it begins.
-        at: usize,
+        offset: usize,
         /// Its name.
         field: &'static str,
         /// The number.
         value: u32,
     },
     /// It holds a number that is too high.
-    #[error("byte {at}: {field} {value} is out of range")]
+    #[error("byte {offset}: {field} {value} is out of range")]
     OutOfRange {
         /// Where it begins.
-        at: usize,
+        offset: usize,
         /// Its name.
         field: &'static str,
         /// The number.
         value: u32,
     },
     /// It names a list that was never defined.
-    #[error("byte {at}: page {page} was never defined")]
+    #[error("byte {offset}: page {page} was never defined")]
     UndefinedPage {
         /// Where it begins.
-        at: usize,
+        offset: usize,
         /// Its number.
         page: u32,
     },
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -17,10 +17,10 @@
 
 impl Host {
     /// Carries a record out at a time, and adds to the reply what is decided.
-    pub fn carry_out(&mut self, now_ms: f64, record: Record, reply: &mut Reply) -> Result<(), RecordError> {
+    pub fn execute(&mut self, now_ms: f64, record: Record, reply: &mut Reply) -> Result<(), RecordError> {
         match record {
             Record::Page => Ok(()),
-            Record::Unused { instance } => self.instance(instance).map(|_| ()),
+            Record::Ignored { instance } => self.instance(instance).map(|_| ()),
             Record::Launch { instance, seed, settings } => {
                 let settings = settings_format::parse(&settings)?;
                 self.instances.insert(instance, Balancer::new(settings.balancer, seed)?);
@@ -50,15 +50,15 @@
         let balancer = self.instance(instance)?;
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now_ms, event, &mut actions)));
         match handled {
-            Ok(()) => actions.iter().for_each(|action| reply.push(instance, action)),
-            Err(panic) => reply.push_fatal(instance, panic_text(&*panic)),
+            Ok(()) => actions.iter().for_each(|action| reply.push_action(instance, action)),
+            Err(panic) => reply.push_fatal(instance, panic_message(&*panic)),
         }
         self.actions = actions;
         Ok(())
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> &str {
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
     if let Some(text) = panic.downcast_ref::<String>() {
         return text;
     }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -30,8 +30,8 @@
     let mut host = Host::default();
     while let Some(frame) = wire::read_frame(&mut input)? {
         let mut reply = wire::Reply::default();
-        decoder.decode(&frame, |record| host.carry_out(frame.now_ms, record, &mut reply))?;
-        output.write_all(&reply.finish()).map_err(AdapterError::Output)?;
+        decoder.decode(&frame, |record| host.execute(frame.now_ms, record, &mut reply))?;
+        output.write_all(&reply.into_bytes()).map_err(AdapterError::Output)?;
         output.flush().map_err(AdapterError::Output)?;
     }
     Ok(())
--- a/crates/simulator-adapter/src/wire/decoder.rs
+++ b/crates/simulator-adapter/src/wire/decoder.rs
@@ -44,7 +44,7 @@
     /// A numbered list, kept by the decoder.
     Page,
     /// Something that no decision needs; read only to check its form.
-    Unused {
+    Ignored {
         /// The instance.
         instance: u16,
     },
@@ -64,40 +64,40 @@
 }
 
 impl Decoder {
-    /// Decodes a frame record by record and hands each to `carry_out`, in order.
+    /// Decodes a frame record by record and hands each to `execute`, in order.
     pub fn decode(
         &mut self,
         frame: &Frame,
-        mut carry_out: impl FnMut(Record) -> Result<(), RecordError>,
+        mut execute: impl FnMut(Record) -> Result<(), RecordError>,
     ) -> Result<(), AdapterError> {
         let mut reader = Reader::new(&frame.body, HEADER_BYTES);
-        for record in 0..frame.records {
-            let at = reader.at();
-            let decoded = self.record(&mut reader);
+        for record in 0..frame.record_count {
+            let offset = reader.offset();
+            let decoded = self.decode_record(&mut reader);
             let decoded = decoded.map_err(|source| AdapterError::Malformed { record, source })?;
-            carry_out(decoded).map_err(|source| AdapterError::Rejected { record, at, source })?;
+            execute(decoded).map_err(|source| AdapterError::Rejected { record, offset, source })?;
         }
-        match reader.left() {
+        match reader.remaining() {
             0 => Ok(()),
-            left => Err(AdapterError::TrailingBytes { at: reader.at(), left }),
+            count => Err(AdapterError::TrailingBytes { offset: reader.offset(), count }),
         }
     }
 
-    fn record(&mut self, reader: &mut Reader) -> Result<Record, FieldError> {
-        let at = reader.at();
+    fn decode_record(&mut self, reader: &mut Reader) -> Result<Record, FieldError> {
+        let offset = reader.offset();
         let code = reader.u16("code")?;
         if code == code::PAGE {
-            return self.page(reader);
+            return self.decode_page(reader);
         }
         if !(code::LAUNCH..=code::SHUTDOWN).contains(&code) {
-            return Err(FieldError::Unknown { at, field: "event", value: code.into() });
+            return Err(FieldError::UnknownValue { offset, field: "event", value: code.into() });
         }
         let instance = reader.u16("proxyId")?;
         let event = match code {
-            code::LAUNCH => return launch(reader, instance),
-            code::DISCOVERY => self.endpoint_list(reader)?,
-            code::REQUEST => request(reader)?,
-            code::ATTEMPT_FINISHED => attempt_finished(reader)?,
+            code::LAUNCH => return decode_launch(reader, instance),
+            code::DISCOVERY => self.decode_endpoint_list(reader)?,
+            code::REQUEST => decode_request(reader)?,
+            code::ATTEMPT_FINISHED => decode_attempt_finished(reader)?,
             code::CLIENT_DISCONNECTED => Event::ClientDisconnected { request: reader.u64("xid")? },
             code::TIMER => Event::TimerFired { token: TimerToken(reader.u64("nonce")?) },
             code::FIRST_BYTE => return skip_first_byte(reader, instance),
@@ -108,49 +108,49 @@
         Ok(Record::Event { instance, event })
     }
 
-    fn page(&mut self, reader: &mut Reader) -> Result<Record, FieldError> {
-        let at = reader.at();
+    fn decode_page(&mut self, reader: &mut Reader) -> Result<Record, FieldError> {
+        let offset = reader.offset();
         let number = reader.u32("page")?;
-        let out_of_range = FieldError::OutOfRange { at, field: "page", value: number };
+        let out_of_range = FieldError::OutOfRange { offset, field: "page", value: number };
         let page = self.pages.get_mut(number as usize).ok_or(out_of_range)?;
-        let lines = reader.u32("lines")?;
-        let endpoints: Result<_, _> = (0..lines).map(|_| reader.endpoint()).collect();
+        let line_count = reader.u32("lines")?;
+        let endpoints: Result<_, _> = (0..line_count).map(|_| reader.endpoint()).collect();
         *page = Some(endpoints?);
         Ok(Record::Page)
     }
 
-    fn endpoint_list(&self, reader: &mut Reader) -> Result<Event, FieldError> {
-        let at = reader.at();
+    fn decode_endpoint_list(&self, reader: &mut Reader) -> Result<Event, FieldError> {
+        let offset = reader.offset();
         let page = reader.u32("page")?;
-        let kind = list_kind(reader)?;
+        let kind = decode_list_kind(reader)?;
         let endpoints = match self.pages.get(page as usize) {
             _ if kind == EndpointListKind::Failed => Vec::new(),
             Some(Some(endpoints)) => endpoints.clone(),
-            _ => return Err(FieldError::UndefinedPage { at, page }),
+            _ => return Err(FieldError::UndefinedPage { offset, page }),
         };
         reader.u64("serial")?;
         Ok(Event::EndpointList { kind, endpoints })
     }
 }
 
-fn list_kind(reader: &mut Reader) -> Result<EndpointListKind, FieldError> {
-    let (at, field) = (reader.at(), "list kind");
+fn decode_list_kind(reader: &mut Reader) -> Result<EndpointListKind, FieldError> {
+    let (offset, field) = (reader.offset(), "list kind");
     match reader.u8(field)? {
         0 => Ok(EndpointListKind::Full),
         1 => Ok(EndpointListKind::Delta),
         2 => Ok(EndpointListKind::Failed),
         3 => Ok(EndpointListKind::Cached),
-        other => Err(FieldError::Unknown { at, field, value: other.into() }),
+        other => Err(FieldError::UnknownValue { offset, field, value: other.into() }),
     }
 }
 
-fn launch(reader: &mut Reader, instance: u16) -> Result<Record, FieldError> {
+fn decode_launch(reader: &mut Reader, instance: u16) -> Result<Record, FieldError> {
     let seed = reader.u64("rngSeed")?;
     let length = reader.u32("facts")? as usize;
     Ok(Record::Launch { instance, seed, settings: reader.take(length, "facts")?.to_vec() })
 }
 
-fn request(reader: &mut Reader) -> Result<Event, FieldError> {
+fn decode_request(reader: &mut Reader) -> Result<Event, FieldError> {
     let request = reader.u64("xid")?;
     let key = reader.u64("nameKey")?;
     let class = reader.u16("qos")?;
@@ -163,7 +163,7 @@
     Ok(Event::RequestArrived(arrival))
 }
 
-fn attempt_finished(reader: &mut Reader) -> Result<Event, FieldError> {
+fn decode_attempt_finished(reader: &mut Reader) -> Result<Event, FieldError> {
     let request = reader.u64("xid")?;
     let latency_ms = reader.f64("waitTime")?;
     let is_request_closed = reader.u8("final")? != 0;
@@ -187,7 +187,7 @@
     reader.u8("hop")?;
     reader.u32("backend")?;
     reader.f64("waitTime")?;
-    Ok(Record::Unused { instance })
+    Ok(Record::Ignored { instance })
 }
 
 fn skip_health_check(reader: &mut Reader, instance: u16) -> Result<Record, FieldError> {
@@ -195,12 +195,12 @@
     reader.u32("backend")?;
     reader.outcome()?;
     reader.skip_load_report()?;
-    Ok(Record::Unused { instance })
+    Ok(Record::Ignored { instance })
 }
 
 fn skip_gossip(reader: &mut Reader, instance: u16) -> Result<Record, FieldError> {
     reader.u32("originPeer")?;
     let length = usize::from(reader.u16("bytes")?);
     reader.take(length, "bytes")?;
-    Ok(Record::Unused { instance })
+    Ok(Record::Ignored { instance })
 }
--- a/crates/simulator-adapter/src/wire/frame.rs
+++ b/crates/simulator-adapter/src/wire/frame.rs
@@ -14,7 +14,7 @@
     /// The clock in milliseconds.
     pub now_ms: f64,
     /// How many records there are.
-    pub records: u32,
+    pub record_count: u32,
     /// Their bytes.
     pub body: Vec<u8>,
 }
@@ -26,18 +26,18 @@
         return Ok(None);
     }
     if header.len() < HEADER_BYTES {
-        return Err(AdapterError::TruncatedHeader { got: header.len(), expected: HEADER_BYTES });
+        return Err(AdapterError::TruncatedHeader { received: header.len(), expected: HEADER_BYTES });
     }
     let mut reader = Reader::new(&header, 0);
-    let records = reader.u32("count").map_err(AdapterError::Header)?;
+    let record_count = reader.u32("count").map_err(AdapterError::Header)?;
     let length = reader.u32("length").map_err(AdapterError::Header)? as usize;
     let now_ms = reader.f64("clock").map_err(AdapterError::Header)?;
     let expected = length.checked_sub(CLOCK_BYTES).ok_or(AdapterError::FrameTooShort { length })?;
     let body = read_up_to(input, expected)?;
     if body.len() < expected {
-        return Err(AdapterError::TruncatedFrame { got: body.len(), expected });
+        return Err(AdapterError::TruncatedFrame { received: body.len(), expected });
     }
-    Ok(Some(Frame { now_ms, records, body }))
+    Ok(Some(Frame { now_ms, record_count, body }))
 }
 
 fn read_up_to(input: &mut impl Read, count: usize) -> Result<Vec<u8>, AdapterError> {
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -8,28 +8,28 @@
     bytes: &'a [u8],
     position: usize,
     /// Place of the first byte in the frame.
-    offset: usize,
+    base_offset: usize,
 }
 
 impl<'a> Reader<'a> {
-    pub(super) fn new(bytes: &'a [u8], offset: usize) -> Self {
-        Reader { bytes, position: 0, offset }
+    pub(super) fn new(bytes: &'a [u8], base_offset: usize) -> Self {
+        Reader { bytes, position: 0, base_offset }
     }
 
     /// Place of the next byte in the frame.
-    pub(super) fn at(&self) -> usize {
-        self.offset + self.position
+    pub(super) fn offset(&self) -> usize {
+        self.base_offset + self.position
     }
 
     /// How many bytes are left.
-    pub(super) fn left(&self) -> usize {
+    pub(super) fn remaining(&self) -> usize {
         self.bytes.len() - self.position
     }
 
     pub(super) fn take(&mut self, count: usize, field: &'static str) -> Result<&'a [u8], FieldError> {
         let end = self.position.checked_add(count);
         let taken = end.and_then(|end| self.bytes.get(self.position..end));
-        let taken = taken.ok_or(FieldError::Truncated { at: self.at(), field })?;
+        let taken = taken.ok_or(FieldError::Truncated { offset: self.offset(), field })?;
         self.position += count;
         Ok(taken)
     }
@@ -61,22 +61,22 @@
     }
 
     pub(super) fn f64(&mut self, field: &'static str) -> Result<f64, FieldError> {
-        let at = self.at();
+        let offset = self.offset();
         let value = f64::from_le_bytes(self.array(field)?);
-        if value.is_finite() { Ok(value) } else { Err(FieldError::NotFinite { at, field }) }
+        if value.is_finite() { Ok(value) } else { Err(FieldError::NotFinite { offset, field }) }
     }
 
     /// Skips a load report.
     pub(super) fn skip_load_report(&mut self) -> Result<(), FieldError> {
-        let figures = self.u8("healthInfo")?;
-        for _ in 0..figures {
+        let value_count = self.u8("healthInfo")?;
+        for _ in 0..value_count {
             self.f32("healthInfo")?;
         }
         Ok(())
     }
 
     pub(super) fn outcome(&mut self) -> Result<Outcome, FieldError> {
-        let (at, field) = (self.at(), "disposition");
+        let (offset, field) = (self.offset(), "disposition");
         match self.u16(field)? {
             0 => Ok(Outcome::Ok),
             1 => Ok(Outcome::Error),
@@ -86,7 +86,7 @@
             5 => Ok(Outcome::Reset),
             6 => Ok(Outcome::Cancelled),
             7 => Ok(Outcome::NotSent),
-            other => Err(FieldError::Unknown { at, field, value: other.into() }),
+            other => Err(FieldError::UnknownValue { offset, field, value: other.into() }),
         }
     }
 
@@ -105,12 +105,12 @@
     }
 
     fn phase(&mut self) -> Result<Phase, FieldError> {
-        let (at, field) = (self.at(), "phase");
+        let (offset, field) = (self.offset(), "phase");
         match self.u8(field)? {
             0 => Ok(Phase::Ready),
             1 => Ok(Phase::Gone),
             2 => Ok(Phase::Draining),
-            other => Err(FieldError::Unknown { at, field, value: other.into() }),
+            other => Err(FieldError::UnknownValue { offset, field, value: other.into() }),
         }
     }
 }
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -3,7 +3,7 @@
 use foldhitch_balancer::api::Action;
 
 /// Length of a reply's length, in bytes.
-const LENGTH_BYTES: usize = 4;
+const LENGTH_PREFIX_BYTES: usize = 4;
 
 /// Codes of actions.
 mod code {
@@ -18,7 +18,7 @@
 }
 
 /// The wire can also say that the list is no longer wanted, which the balancer never does.
-const WATCH_ON: u8 = 1;
+const WATCH_ENABLED: u8 = 1;
 
 /// A reply under construction; its length goes in front when it is finished.
 pub struct Reply {
@@ -27,14 +27,14 @@
 
 impl Default for Reply {
     fn default() -> Self {
-        Reply { bytes: vec![0; LENGTH_BYTES] }
+        Reply { bytes: vec![0; LENGTH_PREFIX_BYTES] }
     }
 }
 
 impl Reply {
     /// Reports that an instance's decision code failed.
     pub fn push_fatal(&mut self, instance: u16, text: &str) {
-        self.begin(code::FATAL, instance);
+        self.push_record_header(code::FATAL, instance);
         // Counted bytes, cut to what the count can say.
         let length = text.len().min(usize::from(u16::MAX));
         self.bytes.extend((length as u16).to_le_bytes());
@@ -42,40 +42,40 @@
     }
 
     /// Adds an instance's action.
-    pub fn push(&mut self, instance: u16, action: &Action) {
+    pub fn push_action(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Send { request, backend, expires_at_ms } => {
-                self.begin(code::SEND, instance);
+                self.push_record_header(code::SEND, instance);
                 self.bytes.extend(request.to_le_bytes());
                 self.bytes.extend(backend.to_le_bytes());
                 self.bytes.extend(expires_at_ms.to_le_bytes());
             }
             Action::Reject { request, retry_after_ms, .. } => {
-                self.begin(code::REJECT, instance);
+                self.push_record_header(code::REJECT, instance);
                 self.bytes.extend(request.to_le_bytes());
                 self.bytes.extend(retry_after_ms.to_le_bytes());
             }
             Action::Fail { request, .. } => {
-                self.begin(code::FAIL, instance);
+                self.push_record_header(code::FAIL, instance);
                 self.bytes.extend(request.to_le_bytes());
             }
             Action::Cancel { request, attempt } => {
-                self.begin(code::CANCEL, instance);
+                self.push_record_header(code::CANCEL, instance);
                 self.bytes.extend(request.to_le_bytes());
                 self.bytes.push(*attempt);
             }
             Action::SetTimer { delay_ms, token } => {
-                self.begin(code::SET_TIMER, instance);
+                self.push_record_header(code::SET_TIMER, instance);
                 self.bytes.extend(delay_ms.to_le_bytes());
                 self.bytes.extend(token.0.to_le_bytes());
             }
             Action::CloseIdleConnections { backend } => {
-                self.begin(code::CLOSE_IDLE, instance);
+                self.push_record_header(code::CLOSE_IDLE, instance);
                 self.bytes.extend(backend.to_le_bytes());
             }
             Action::PollEndpoints => {
-                self.begin(code::WATCH, instance);
-                self.bytes.push(WATCH_ON);
+                self.push_record_header(code::WATCH, instance);
+                self.bytes.push(WATCH_ENABLED);
             }
             // What answers an operator's call; none comes over this wire.
             Action::SetSuspended { .. } | Action::SetDraining { .. } => {}
@@ -83,13 +83,13 @@
     }
 
     /// The whole reply.
-    pub fn finish(mut self) -> Vec<u8> {
-        let length = (self.bytes.len() - LENGTH_BYTES) as u32;
-        self.bytes[..LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
+    pub fn into_bytes(mut self) -> Vec<u8> {
+        let length = (self.bytes.len() - LENGTH_PREFIX_BYTES) as u32;
+        self.bytes[..LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_le_bytes());
         self.bytes
     }
 
-    fn begin(&mut self, code: u16, instance: u16) {
+    fn push_record_header(&mut self, code: u16, instance: u16) {
         self.bytes.extend(code.to_le_bytes());
         self.bytes.extend(instance.to_le_bytes());
     }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn host(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_foldhitch-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -15,27 +15,27 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-const CLOCK: f64 = 8256.25;
+const NOW_MS: f64 = 8256.25;
 
 fn frame(records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
     let mut f = (records.len() as u32).to_le_bytes().to_vec();
     f.extend((body.len() as u32 + 8).to_le_bytes());
-    f.extend(CLOCK.to_le_bytes());
+    f.extend(NOW_MS.to_le_bytes());
     f.extend(body);
     f
 }
 
-fn head(code: u16, instance: u16) -> Vec<u8> {
+fn record_header(code: u16, instance: u16) -> Vec<u8> {
     [code.to_le_bytes(), instance.to_le_bytes()].concat()
 }
 
-fn with(mut record: Vec<u8>, fields: &[&[u8]]) -> Vec<u8> {
+fn with_fields(mut record: Vec<u8>, fields: &[&[u8]]) -> Vec<u8> {
     fields.iter().for_each(|f| record.extend(*f));
     record
 }
 
-fn facts() -> serde_json::Value {
+fn settings_json() -> serde_json::Value {
     serde_json::json!({
         "slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "tick": 5.0, "overShareWorth": 0.05,
         "discovery": "automatic", "weights": "silent", "tenants": [{"quotaPerS": 10.0}], "someNewKey": -1,
@@ -49,35 +49,43 @@
     })
 }
 
-fn launch(facts: &str) -> Vec<u8> {
-    with(head(1, 3), &[&7u64.to_le_bytes(), &(facts.len() as u32).to_le_bytes(), facts.as_bytes()])
+fn launch(settings: &str) -> Vec<u8> {
+    with_fields(
+        record_header(1, 3),
+        &[&7u64.to_le_bytes(), &(settings.len() as u32).to_le_bytes(), settings.as_bytes()],
+    )
 }
 
-fn census(page: u32, backends: &[u32]) -> Vec<u8> {
-    let mut r =
-        with(11u16.to_le_bytes().to_vec(), &[&page.to_le_bytes(), &(backends.len() as u32).to_le_bytes()]);
+fn endpoint_page(page: u32, backends: &[u32]) -> Vec<u8> {
+    let mut r = with_fields(
+        11u16.to_le_bytes().to_vec(),
+        &[&page.to_le_bytes(), &(backends.len() as u32).to_le_bytes()],
+    );
     for b in backends {
         let (zone, started, weight) = (0u16.to_le_bytes(), 0f64.to_le_bytes(), 1f32.to_le_bytes());
-        r = with(r, &[&[0], &b.to_le_bytes(), &zone, &started, &weight, &[0, 0], &[0, 0]]);
+        r = with_fields(r, &[&[0], &b.to_le_bytes(), &zone, &started, &weight, &[0, 0], &[0, 0]]);
     }
     r
 }
 
-fn discovery(page: u32, kind: u8) -> Vec<u8> {
-    with(head(2, 3), &[&page.to_le_bytes(), &[kind], &1u64.to_le_bytes()])
+fn endpoint_list(page: u32, kind: u8) -> Vec<u8> {
+    with_fields(record_header(2, 3), &[&page.to_le_bytes(), &[kind], &1u64.to_le_bytes()])
 }
 
-fn ingress(xid: u64) -> Vec<u8> {
-    ingress_of(xid, 0)
+fn request(xid: u64) -> Vec<u8> {
+    request_with_key(xid, 0)
 }
 
-fn ingress_of(xid: u64, key: u64) -> Vec<u8> {
-    let deadline = CLOCK + 2000.0;
+fn request_with_key(xid: u64, key: u64) -> Vec<u8> {
+    let deadline = NOW_MS + 2000.0;
     let (key, hint) = (key.to_le_bytes(), 0f64.to_le_bytes());
-    with(head(3, 3), &[&xid.to_le_bytes(), &key, &[0, 0], &[0], &hint, &[0, 0], &deadline.to_le_bytes()])
+    with_fields(
+        record_header(3, 3),
+        &[&xid.to_le_bytes(), &key, &[0, 0], &[0], &hint, &[0, 0], &deadline.to_le_bytes()],
+    )
 }
 
-fn replies(out: &[u8]) -> Vec<Vec<u8>> {
+fn split_replies(out: &[u8]) -> Vec<Vec<u8>> {
     let (mut at, mut all) = (0, Vec::new());
     while at < out.len() {
         let n = u32::from_le_bytes(out[at..at + 4].try_into().unwrap()) as usize;
@@ -88,51 +96,51 @@
 }
 
 #[test]
-fn a_request_is_sent_to_the_backend_of_the_latest_page() {
-    let start = frame(&[launch(&facts().to_string()), census(1, &[11]), discovery(1, 3)]);
+fn list_uses_the_latest_definition_of_its_page() {
+    let start = frame(&[launch(&settings_json().to_string()), endpoint_page(1, &[11]), endpoint_list(1, 3)]);
     // The page is used again within a batch: the number means the newer list from there on.
-    let next = frame(&[census(1, &[22]), discovery(1, 0), census(1, &[33]), ingress(99)]);
-    let out = host(&[start, next].concat());
+    let next = frame(&[endpoint_page(1, &[22]), endpoint_list(1, 0), endpoint_page(1, &[33]), request(99)]);
+    let out = run_adapter(&[start, next].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    let replies = replies(&out.stdout);
+    let replies = split_replies(&out.stdout);
     assert_eq!(replies.len(), 2, "one reply to each batch");
-    let mut sent = with(head(1, 3), &[&99u64.to_le_bytes(), &22u32.to_le_bytes()]);
-    sent.extend((CLOCK + 2000.0).to_le_bytes());
+    let mut sent = with_fields(record_header(1, 3), &[&99u64.to_le_bytes(), &22u32.to_le_bytes()]);
+    sent.extend((NOW_MS + 2000.0).to_le_bytes());
     assert_eq!(replies[1], sent);
 }
 
 /// The rules' further settings and the request's key reach the module: order per key, closing on drains.
 #[test]
-fn order_and_closing_pass_through() {
-    let start = frame(&[launch(&facts().to_string()), census(1, &[11]), discovery(1, 3)]);
-    let two = frame(&[ingress_of(1, 77), ingress_of(2, 77)]);
-    let mut drained = census(2, &[11]);
+fn ordering_key_and_draining_reach_the_balancer() {
+    let start = frame(&[launch(&settings_json().to_string()), endpoint_page(1, &[11]), endpoint_list(1, 3)]);
+    let two = frame(&[request_with_key(1, 77), request_with_key(2, 77)]);
+    let mut drained = endpoint_page(2, &[11]);
     drained[10] = 2; // the phase of its only entry
-    let out = host(&[start, two, frame(&[drained, discovery(2, 1)])].concat());
+    let out = run_adapter(&[start, two, frame(&[drained, endpoint_list(2, 1)])].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    let replies = replies(&out.stdout);
+    let replies = split_replies(&out.stdout);
     assert_eq!(replies[1].len(), 24, "one attempt and no more: {:?}", replies[1]);
-    assert_eq!(replies[2], with(head(7, 3), &[&11u32.to_le_bytes()]));
+    assert_eq!(replies[2], with_fields(record_header(7, 3), &[&11u32.to_le_bytes()]));
 }
 
 #[test]
-fn a_clean_end_of_input_exits_zero() {
-    let out = host(&[]);
+fn end_of_input_between_frames_exits_with_zero() {
+    let out = run_adapter(&[]);
     assert!(out.status.success() && out.stdout.is_empty());
-    let out = host(&frame(&[]));
+    let out = run_adapter(&frame(&[]));
     assert!(out.status.success());
     assert_eq!(out.stdout, [0, 0, 0, 0]);
 }
 
 #[test]
-fn bad_input_is_one_line_and_no_reply() {
-    let good = frame(&[launch(&facts().to_string()), census(1, &[11]), discovery(1, 3)]);
-    let with_facts = |change: &dyn Fn(&mut serde_json::Value)| {
-        let mut f = facts();
+fn invalid_input_prints_one_line_and_no_reply() {
+    let good = frame(&[launch(&settings_json().to_string()), endpoint_page(1, &[11]), endpoint_list(1, 3)]);
+    let launch_with = |change: &dyn Fn(&mut serde_json::Value)| {
+        let mut f = settings_json();
         change(&mut f);
         frame(&[launch(&f.to_string())])
     };
-    let mut long = frame(&[census(1, &[11])]);
+    let mut long = frame(&[endpoint_page(1, &[11])]);
     long[4] += 4;
     long.extend([0; 4]);
     let mut short = frame(&[]);
@@ -145,22 +153,25 @@
         (short, &["byte 4", "length 3"]),
         (clock, &["byte 8", "clock"]),
         (long, &["4 bytes left over"]),
-        (frame(&[head(44, 3)]), &["record 0", "byte 16", "event 44"]),
-        (frame(&[census(16, &[])]), &["page 16"]),
-        (frame(&[with(head(6, 3), &[&[1, 2, 3]])]), &["byte 20", "xid"]),
-        (frame(&[ingress(1)]), &["instance 3"]),
-        (frame(&[head(10, 3)]), &["instance 3"]),
-        (frame(&[launch(&facts().to_string()), discovery(5, 0)]), &["record 1", "page 5", "never defined"]),
-        (frame(&[launch(&facts().to_string()), discovery(5, 9)]), &["list kind 9"]),
+        (frame(&[record_header(44, 3)]), &["record 0", "byte 16", "event 44"]),
+        (frame(&[endpoint_page(16, &[])]), &["page 16"]),
+        (frame(&[with_fields(record_header(6, 3), &[&[1, 2, 3]])]), &["byte 20", "xid"]),
+        (frame(&[request(1)]), &["instance 3"]),
+        (frame(&[record_header(10, 3)]), &["instance 3"]),
+        (
+            frame(&[launch(&settings_json().to_string()), endpoint_list(5, 0)]),
+            &["record 1", "page 5", "never defined"],
+        ),
+        (frame(&[launch(&settings_json().to_string()), endpoint_list(5, 9)]), &["list kind 9"]),
         (frame(&[launch("{nonsense")]), &["record 0", "settings"]),
-        (with_facts(&|f| drop(f.as_object_mut().unwrap().remove("tick"))), &["settings", "tick"]),
-        (with_facts(&|f| f["classes"][0]["aim"] = (-4.0).into()), &["classes[0].aim", "negative"]),
-        (with_facts(&|f| f["guarantees"]["cold"] = "x".into()), &["guarantees.cold"]),
-        (with_facts(&|f| f["slotNo"] = 5.into()), &["slotNo"]),
-        (frame(&[launch(&facts().to_string().replace("500.0", "1e999"))]), &["settings"]),
+        (launch_with(&|f| drop(f.as_object_mut().unwrap().remove("tick"))), &["settings", "tick"]),
+        (launch_with(&|f| f["classes"][0]["aim"] = (-4.0).into()), &["classes[0].aim", "negative"]),
+        (launch_with(&|f| f["guarantees"]["cold"] = "x".into()), &["guarantees.cold"]),
+        (launch_with(&|f| f["slotNo"] = 5.into()), &["slotNo"]),
+        (frame(&[launch(&settings_json().to_string().replace("500.0", "1e999"))]), &["settings"]),
     ];
     for (input, words) in cases {
-        let out = host(&input);
+        let out = run_adapter(&input);
         let error = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(1), "{words:?}: {error}");
         assert!(out.stdout.is_empty(), "{words:?}: a reply was begun");
@@ -171,18 +182,23 @@
 
 /// Events that no decision needs are read whole and passed over, for instances that run.
 #[test]
-fn unused_events_are_passed_over() {
-    let first_byte =
-        |i| with(head(4, i), &[&1u64.to_le_bytes(), &[0], &11u32.to_le_bytes(), &5f64.to_le_bytes()]);
+fn unused_events_are_read_and_ignored() {
+    let first_byte = |i| {
+        with_fields(
+            record_header(4, i),
+            &[&1u64.to_le_bytes(), &[0], &11u32.to_le_bytes(), &5f64.to_le_bytes()],
+        )
+    };
     let report = [&[1u8][..], &0.5f32.to_le_bytes()].concat();
-    let sampled = with(head(8, 3), &[&5f64.to_le_bytes(), &11u32.to_le_bytes(), &[0, 0], &report]);
-    let datagram = with(head(9, 3), &[&1u32.to_le_bytes(), &2u16.to_le_bytes(), b"hi"]);
-    let start = frame(&[launch(&facts().to_string()), census(1, &[11]), discovery(1, 3)]);
+    let sampled =
+        with_fields(record_header(8, 3), &[&5f64.to_le_bytes(), &11u32.to_le_bytes(), &[0, 0], &report]);
+    let datagram = with_fields(record_header(9, 3), &[&1u32.to_le_bytes(), &2u16.to_le_bytes(), b"hi"]);
+    let start = frame(&[launch(&settings_json().to_string()), endpoint_page(1, &[11]), endpoint_list(1, 3)]);
     let rest = frame(&[first_byte(3), sampled, datagram]);
-    let out = host(&[start.clone(), rest].concat());
+    let out = run_adapter(&[start.clone(), rest].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
-    assert_eq!(replies(&out.stdout)[1], Vec::<u8>::new());
-    let out = host(&[start, frame(&[first_byte(8)])].concat());
+    assert_eq!(split_replies(&out.stdout)[1], Vec::<u8>::new());
+    let out = run_adapter(&[start, frame(&[first_byte(8)])].concat());
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("instance 8 is unknown"));
 }
