--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -6,24 +6,23 @@
 use foldhitch_balancer::api::*;
 use support::fleet::*;
 
-const COLD: f64 = 15_000.0;
+const WARM_UP_MS: f64 = 15_000.0;
 
 fn class(latency_objective_ms: f64, priority_weight: f64, idempotency: Idempotency) -> Class {
     Class { latency_objective_ms, priority_weight, idempotency, is_ordered_by_key: false }
 }
 
 /// An ordinary day: ten backends, half loaded.
-fn plan(instance_count: u32) -> Plan {
-    let warm = 10;
+fn base_scenario(instance_count: u32) -> Scenario {
+    let warm_backends = 10;
     let guarantees = Guarantees {
         initial_capacity_fraction: 0.12,
-        warm_up_ms: COLD,
+        warm_up_ms: WARM_UP_MS,
         overload_multiple: 3.0,
         poll_within_ms: 10_000.0,
         ..Guarantees::default()
     };
-    let cores = 4;
-    let quota_per_s = 0.9 * f64::from(warm) * 40.0;
+    let quota_per_s = 0.9 * f64::from(warm_backends) * 40.0;
     let settings = Settings {
         instance_count,
         tick_ms: 5.0,
@@ -37,166 +36,183 @@
         guarantees,
         ..Settings::default()
     };
-    Plan {
+    Scenario {
         settings,
-        mix: vec![Mix { share: 0.5, work: 1.3 }, Mix { share: 0.5, work: 0.7 }],
-        cores,
-        mean: 100.0,
+        traffic: vec![
+            ClassTraffic { share: 0.5, mean_work: 1.3 },
+            ClassTraffic { share: 0.5, mean_work: 0.7 },
+        ],
+        cores_per_backend: 4,
+        mean_service_ms: 100.0,
         load: 0.5,
-        uneven: vec![1.0],
-        notice: 1000.0,
-        warm,
-        fall: 1000.0,
-        even: false,
-        change: Vec::new(),
-        end: 30_000.0,
+        instance_weights: vec![1.0],
+        max_notification_delay_ms: 1000.0,
+        warm_backends,
+        overload_window_ms: 1000.0,
+        is_work_constant: false,
+        changes: Vec::new(),
+        end_ms: 30_000.0,
     }
 }
 
 /// A name, and how its day differs from an ordinary one.
-type Case = (&'static str, fn(Plan) -> Plan);
+type Case = (&'static str, fn(Scenario) -> Scenario);
 
 fn cases() -> Vec<Case> {
     use Change::*;
     vec![
-        ("a backend restarts under a burst", |p| Plan {
-            change: vec![(8000.0, RestartBackend(3)), (9000.0, Load(0.9)), (14_000.0, Load(0.5))],
-            ..p
+        ("a backend restarts under a burst", |base| Scenario {
+            changes: vec![(8000.0, RestartBackend(3)), (9000.0, SetLoad(0.9)), (14_000.0, SetLoad(0.5))],
+            ..base
         }),
-        ("a release", |p| Plan {
-            change: (0..5).map(|n| (6000.0 + 1500.0 * f64::from(n), Replace(1 + n, 11 + n))).collect(),
+        ("a release", |base| Scenario {
+            changes: (0..5)
+                .map(|n| (6000.0 + 1500.0 * f64::from(n), ReplaceBackend(1 + n, 11 + n)))
+                .collect(),
             load: 0.6,
-            ..p
+            ..base
         }),
-        ("all copies restart at once beside cold backends", |p| Plan {
-            change: vec![
+        ("all copies restart at once beside cold backends", |base| Scenario {
+            changes: vec![
                 (6000.0, RestartBackend(3)),
                 (6000.0, RestartBackend(7)),
-                (8000.0, RestartCopies(300.0)),
+                (8000.0, RestartInstances(300.0)),
             ],
             load: 0.6,
-            ..p
+            ..base
         }),
-        ("fresh copies, all backends cold", |p| Plan {
-            change: (1..=10).map(|b| (2.0, RestartBackend(b))).chain([(3.0, RestartCopies(100.0))]).collect(),
+        ("fresh copies, all backends cold", |base| Scenario {
+            changes: (1..=10)
+                .map(|b| (2.0, RestartBackend(b)))
+                .chain([(3.0, RestartInstances(100.0))])
+                .collect(),
             load: 0.6,
-            notice: 0.0,
-            end: 18_000.0,
-            ..p
+            max_notification_delay_ms: 0.0,
+            end_ms: 18_000.0,
+            ..base
         }),
-        ("the whole tier restarts", |p| Plan {
-            change: (1..=10).map(|b| (8000.0, RestartBackend(b))).collect(),
+        ("the whole tier restarts", |base| Scenario {
+            changes: (1..=10).map(|b| (8000.0, RestartBackend(b))).collect(),
             load: 0.7,
-            ..p
+            ..base
         }),
-        ("the whole tier restarts under a burst", |p| Plan {
-            change: (1..=10)
+        ("the whole tier restarts under a burst", |base| Scenario {
+            changes: (1..=10)
                 .map(|b| (8000.0, RestartBackend(b)))
-                .chain([(9000.0, Load(1.3)), (12_000.0, Load(0.7))])
+                .chain([(9000.0, SetLoad(1.3)), (12_000.0, SetLoad(0.7))])
                 .collect(),
             load: 0.7,
-            ..p
+            ..base
         }),
-        ("a tier that starts with half of its backends", |p| Plan {
-            change: (1..=5)
+        ("a tier that starts with half of its backends", |base| Scenario {
+            changes: (1..=5)
                 .map(|b| (2.0, RestartBackend(b)))
-                .chain([(3.0, RestartCopies(100.0))])
-                .chain((6..=10).map(|b| (1000.0 + 500.0 * f64::from(b), Add(b))))
+                .chain([(3.0, RestartInstances(100.0))])
+                .chain((6..=10).map(|b| (1000.0 + 500.0 * f64::from(b), AddBackend(b))))
                 .collect(),
             load: 1.2,
-            notice: 0.0,
-            warm: 5,
-            ..p
+            max_notification_delay_ms: 0.0,
+            warm_backends: 5,
+            ..base
         }),
-        ("most of the tier restarts", |p| Plan {
-            change: (1..=7).map(|b| (8000.0, RestartBackend(b))).collect(),
+        ("most of the tier restarts", |base| Scenario {
+            changes: (1..=7).map(|b| (8000.0, RestartBackend(b))).collect(),
             load: 0.7,
-            ..p
+            ..base
         }),
-        ("heavy requests", |p| {
-            let mix = vec![Mix { share: 0.85, work: 0.3 }, Mix { share: 0.15, work: 4.95 }];
-            let change = vec![(8000.0, RestartBackend(3)), (8000.0, RestartBackend(4))];
-            Plan { mix, change, ..p }
+        ("heavy requests", |base| {
+            let traffic = vec![
+                ClassTraffic { share: 0.85, mean_work: 0.3 },
+                ClassTraffic { share: 0.15, mean_work: 4.95 },
+            ];
+            let changes = vec![(8000.0, RestartBackend(3)), (8000.0, RestartBackend(4))];
+            Scenario { traffic, changes, ..base }
         }),
-        ("two processes a copy", |p| Plan {
-            change: vec![(5000.0, Processes(2)), (8000.0, RestartBackend(3))],
-            ..p
+        ("two processes a copy", |base| Scenario {
+            changes: vec![(5000.0, SetProcessCount(2)), (8000.0, RestartBackend(3))],
+            ..base
         }),
-        ("uneven copies", |p| {
-            let instance_count = p.settings.instance_count as usize;
-            let uneven = (0..instance_count).map(|c| if c % 5 == 0 { 4.0 } else { 0.5 }).collect();
-            Plan { uneven, change: vec![(8000.0, RestartBackend(3)), (8000.0, RestartBackend(8))], ..p }
+        ("uneven copies", |base| {
+            let instance_count = base.settings.instance_count as usize;
+            let instance_weights = (0..instance_count).map(|c| if c % 5 == 0 { 4.0 } else { 0.5 }).collect();
+            Scenario {
+                instance_weights,
+                changes: vec![(8000.0, RestartBackend(3)), (8000.0, RestartBackend(8))],
+                ..base
+            }
         }),
-        ("traffic goes from copy to copy", |p| Plan {
-            change: (0..5)
+        ("traffic goes from copy to copy", |base| Scenario {
+            changes: (0..5)
                 .flat_map(|n| {
                     let at = 2000.0 + 1200.0 * f64::from(n);
-                    [(at, Shift(n, 3.0)), (at + 1200.0, Shift(n, 0.7))]
+                    [(at, ScaleTraffic(n, 3.0)), (at + 1200.0, ScaleTraffic(n, 0.7))]
                 })
-                .chain((0..5).map(|n| (8000.0, Shift(n, 1.0))))
-                .chain([(8000.0, RestartBackend(3)), (8000.0, RestartBackend(4)), (9500.0, Load(0.9))])
+                .chain((0..5).map(|n| (8000.0, ScaleTraffic(n, 1.0))))
+                .chain([(8000.0, RestartBackend(3)), (8000.0, RestartBackend(4)), (9500.0, SetLoad(0.9))])
                 .collect(),
-            ..p
+            ..base
         }),
-        ("a quiet time, then a burst", |p| Plan {
-            change: vec![
-                (8000.0, Load(0.03)),
+        ("a quiet time, then a burst", |base| Scenario {
+            changes: vec![
+                (8000.0, SetLoad(0.03)),
                 (8000.0, RestartBackend(3)),
                 (8000.0, RestartBackend(8)),
-                (12_000.0, Load(1.0)),
-                (13_500.0, Load(0.5)),
+                (12_000.0, SetLoad(1.0)),
+                (13_500.0, SetLoad(0.5)),
             ],
             load: 0.7,
-            ..small(p)
+            ..with_single_core_backends(base)
         }),
-        ("copies come back into a rush", |p| Plan {
-            change: vec![
-                (8000.0, RestartCopies(50.0)),
-                (8000.0, Load(4.0)),
-                (8400.0, Load(0.6)),
+        ("copies come back into a rush", |base| Scenario {
+            changes: vec![
+                (8000.0, RestartInstances(50.0)),
+                (8000.0, SetLoad(4.0)),
+                (8400.0, SetLoad(0.6)),
                 (8600.0, RestartBackend(3)),
                 (8600.0, RestartBackend(4)),
-                (10_500.0, Load(1.0)),
+                (10_500.0, SetLoad(1.0)),
             ],
             load: 0.6,
-            ..p
+            ..base
         }),
-        ("small backends, all replaced within 7 s", |p| Plan {
-            change: (0..10).map(|n| (8000.0 + 700.0 * f64::from(n), Replace(1 + n, 11 + n))).collect(),
+        ("small backends, all replaced within 7 s", |base| Scenario {
+            changes: (0..10)
+                .map(|n| (8000.0 + 700.0 * f64::from(n), ReplaceBackend(1 + n, 11 + n)))
+                .collect(),
             load: 0.7,
-            ..small(p)
+            ..with_single_core_backends(base)
         }),
     ]
 }
 
 /// Backends of a core that work a quarter of a second for a request: the budget is a request or two a window.
 /// Their work is even: of uneven work a single request may be more than the budget and chance.
-fn small(mut p: Plan) -> Plan {
-    (p.cores, p.mean, p.even) = (1, 250.0, true);
-    p.settings.tenants[0].quota_per_s = 0.9 * f64::from(p.warm) * 4.0;
-    p
+fn with_single_core_backends(mut scenario: Scenario) -> Scenario {
+    (scenario.cores_per_backend, scenario.mean_service_ms, scenario.is_work_constant) = (1, 250.0, true);
+    scenario.settings.tenants[0].quota_per_s = 0.9 * f64::from(scenario.warm_backends) * 4.0;
+    scenario
 }
 
 /// An instance's share of the budget follows from what it sees alone, so each case is played for several seeds.
 /// `FLEET_SEEDS=40 cargo test --test cold_fleet -- --nocapture` plays more and prints the figures.
-fn bears_the_sum(instance_count: u32, seeds: u64) {
+fn assert_no_slow_start_overload(instance_count: u32, seeds: u64) {
     let seeds = std::env::var("FLEET_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(seeds);
     let mut failed = Vec::new();
     for (name, case) in cases() {
         let (mut worst, mut worst_seed, mut used, mut least) = (f64::MIN, 0, 0.0, f64::MAX);
-        let (mut answered, mut refused) = (0, 0);
+        let (mut served, mut unserved) = (0, 0);
         for seed in 0..seeds {
-            let f = Fleet::run(case(plan(instance_count)), seed);
-            if f.worst() > worst {
-                (worst, worst_seed) = (f.worst(), seed);
+            let fleet = Fleet::run(case(base_scenario(instance_count)), seed);
+            if fleet.worst_overload() > worst {
+                (worst, worst_seed) = (fleet.worst_overload(), seed);
             }
-            let (mean, low) = f.used();
+            let (mean, low) = fleet.slow_start_utilization();
             (used, least) = (used + mean / seeds as f64, low.min(least));
-            (answered, refused) = (answered + f.answered, refused + f.refused);
+            (served, unserved) = (served + fleet.served, unserved + fleet.unserved);
         }
         println!(
             "{name:50}{instance_count:4} copies: worst {worst:5.2} (seed {worst_seed:2}), used {used:.2}, least \
-             {least:.2}; {answered} answered, {refused} refused"
+             {least:.2}; {served} answered, {unserved} refused"
         );
         if worst > 1.0 {
             failed.push(format!("{name}: {worst:.2} of what is chance, seed {worst_seed}"));
@@ -210,43 +226,57 @@
 }
 
 #[test]
-fn cold_backends_bear_what_3_copies_send() {
-    bears_the_sum(3, 4);
+fn fleet_of_3_does_not_overload_backends_in_slow_start() {
+    assert_no_slow_start_overload(3, 4);
 }
 
 #[test]
-fn cold_backends_bear_what_30_copies_send() {
-    bears_the_sum(30, 4);
+fn fleet_of_30_does_not_overload_backends_in_slow_start() {
+    assert_no_slow_start_overload(30, 4);
 }
 
 #[test]
-fn cold_backends_bear_what_100_copies_send() {
-    bears_the_sum(100, 3);
+fn fleet_of_100_does_not_overload_backends_in_slow_start() {
+    assert_no_slow_start_overload(100, 3);
 }
 
 /// 720 instances over 40 backends that are replaced all day: nothing is sent to what an instance was told is leaving
 /// (checked at every send), every instance follows to the newest list, backends that are warming up bear the sum, and records of
 /// backends that left don't pile up.
 #[test]
-fn hundreds_of_instances_follow_every_list() {
-    let (backends, churn) = (40, 160);
-    let replace = |n: u32| (2000.0 + 100.0 * f64::from(n), Change::Replace(1 + n, 1 + n + backends));
-    let mut p = plan(720);
-    (p.settings.tick_ms, p.settings.guarantees.warm_up_ms) = (10.0, 3000.0);
-    p.settings.tenants[0].quota_per_s = 0.9 * f64::from(backends) * 40.0;
-    let change = (0..churn).map(replace).collect();
+fn all_720_instances_follow_every_list_update() {
+    let (backends, replacements) = (40, 160);
+    let replacement =
+        |n: u32| (2000.0 + 100.0 * f64::from(n), Change::ReplaceBackend(1 + n, 1 + n + backends));
+    let mut scenario = base_scenario(720);
+    (scenario.settings.tick_ms, scenario.settings.guarantees.warm_up_ms) = (10.0, 3000.0);
+    scenario.settings.tenants[0].quota_per_s = 0.9 * f64::from(backends) * 40.0;
+    let changes = (0..replacements).map(replacement).collect();
     // The last to leave is gone 2 s after its replacement, and all have heard of it a second later.
-    let end = 2000.0 + 100.0 * f64::from(churn) + 2000.0 + 1000.0;
-    let f = Fleet::run(Plan { change, warm: backends, end, ..p }, 1);
-    let newest = f.lists.last().expect("a list").iter().map(|e| e.backend);
-    assert_eq!(newest.collect::<Vec<_>>(), (churn + 1..=churn + backends).collect::<Vec<_>>());
-    for (n, instance_index) in f.instance_count.iter().enumerate() {
-        assert_eq!(instance_index.version, f.lists.len() - 1, "copy {n} missed the newest list");
-        assert_eq!(f.records_beyond_need(n), 0, "copy {n} keeps records of backends that left");
+    let end_ms = 2000.0 + 100.0 * f64::from(replacements) + 2000.0 + 1000.0;
+    let fleet = Fleet::run(Scenario { changes, warm_backends: backends, end_ms, ..scenario }, 1);
+    let newest = fleet.lists.last().expect("a list").iter().map(|e| e.backend);
+    assert_eq!(newest.collect::<Vec<_>>(), (replacements + 1..=replacements + backends).collect::<Vec<_>>());
+    for (index, instance) in fleet.instances.iter().enumerate() {
+        assert_eq!(instance.list_version, fleet.lists.len() - 1, "copy {index} missed the newest list");
+        assert_eq!(
+            fleet.excess_backend_records(index),
+            0,
+            "copy {index} keeps records of backends that left"
+        );
     }
-    let unused = f.servers.values().filter(|s| s.work.is_empty()).count();
-    println!("720 copies: worst {:.2}, {} answered, {} refused", f.worst(), f.answered, f.refused);
+    let unused = fleet.backends.values().filter(|s| s.received.is_empty()).count();
+    println!(
+        "720 copies: worst {:.2}, {} answered, {} refused",
+        fleet.worst_overload(),
+        fleet.served,
+        fleet.unserved
+    );
     assert_eq!(unused, 0, "backends that nobody sends to");
-    assert!(f.worst() <= 1.0, "a cold backend falls: {:.2} of what is chance", f.worst());
-    assert!(f.answered > 10 * f.refused, "{} answered, {} refused", f.answered, f.refused);
+    assert!(
+        fleet.worst_overload() <= 1.0,
+        "a cold backend falls: {:.2} of what is chance",
+        fleet.worst_overload()
+    );
+    assert!(fleet.served > 10 * fleet.unserved, "{} answered, {} refused", fleet.served, fleet.unserved);
 }
