--- a/crates/balancer/tests/policy_size.rs
+++ b/crates/balancer/tests/policy_size.rs
@@ -5,28 +5,28 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-const MAX_LINES_OF_A_FILE: usize = 300;
+const MAX_NON_BLANK_LINES: usize = 300;
 const MAX_COLUMNS: usize = 110;
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
 fn policy_files() -> Vec<String> {
-    let text = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
+    let text = fs::read_to_string(workspace_root().join("deploy/balancer.toml")).expect("the deploy file");
     let deploy: toml::Table = text.parse().expect("TOML");
     let files = deploy["policy"].as_array().expect("a list");
     files.iter().map(|file| file.as_str().expect("a path").to_string()).collect()
 }
 
 #[test]
-fn each_file_of_the_policy_keeps_to_its_size() {
+fn policy_files_keep_to_their_size_limits() {
     let files = policy_files();
     assert!(!files.is_empty(), "no policy file");
     for file in files {
-        let text = fs::read_to_string(root().join(&file)).expect("a policy file");
+        let text = fs::read_to_string(workspace_root().join(&file)).expect("a policy file");
         let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-        assert!(lines <= MAX_LINES_OF_A_FILE, "{file}: {lines} lines");
+        assert!(lines <= MAX_NON_BLANK_LINES, "{file}: {lines} lines");
         for (number, line) in text.lines().enumerate() {
             let columns = line.chars().count();
             assert!(columns <= MAX_COLUMNS, "{file}:{}: {columns} columns", number + 1);
@@ -36,9 +36,9 @@
 
 /// All but the unit tests, which are compiled for tests only.
 #[test]
-fn every_file_of_the_policy_is_named() {
+fn deploy_file_lists_every_policy_file() {
     let folder = "crates/balancer/src/policy";
-    let entries = fs::read_dir(root().join(folder)).expect("the policy's folder");
+    let entries = fs::read_dir(workspace_root().join(folder)).expect("the policy's folder");
     let name = |entry: fs::DirEntry| format!("{folder}/{}", entry.file_name().to_string_lossy());
     let mut present: BTreeSet<String> = entries.map(|entry| name(entry.expect("an entry"))).collect();
     present.remove(&format!("{folder}/tests.rs"));
--- a/crates/balancer/tests/reconfigure.rs
+++ b/crates/balancer/tests/reconfigure.rs
@@ -7,13 +7,13 @@
 use foldhitch_balancer::api::*;
 use support::*;
 
-const RETRYABLE: Idempotency = Idempotency::Idempotent;
-const FRAGILE: Idempotency = Idempotency::NonIdempotent;
+const IDEMPOTENT: Idempotency = Idempotency::Idempotent;
+const NON_IDEMPOTENT: Idempotency = Idempotency::NonIdempotent;
 /// Each continues the one at its place.
-const ONE: [Option<u16>; 1] = [Some(0)];
-const TWO: [Option<u16>; 2] = [Some(0), Some(1)];
+const CONTINUE_ONE: [Option<u16>; 1] = [Some(0)];
+const CONTINUE_TWO: [Option<u16>; 2] = [Some(0), Some(1)];
 
-fn with(classes: Vec<Class>) -> Settings {
+fn settings_with(classes: Vec<Class>) -> Settings {
     settings(1, classes)
 }
 
@@ -22,231 +22,254 @@
 }
 
 /// How a request ended; nothing while it is open.
-fn end(p: &ProxyHarness, request: RequestId) -> Option<&'static str> {
-    p.requests[&request].ended.map(|(_, how)| how)
+fn end_of(proxy: &ProxyHarness, request: RequestId) -> Option<&'static str> {
+    proxy.requests[&request].ended.map(|(_, how)| how)
 }
 
-fn sends(p: &ProxyHarness, request: RequestId) -> usize {
-    p.requests[&request].sends.len()
+fn attempt_count(proxy: &ProxyHarness, request: RequestId) -> usize {
+    proxy.requests[&request].attempts.len()
 }
 
 /// Asks until one is not sent at once; how many were. While the limit is full those are within their tenant's quota.
-fn within(p: &mut ProxyHarness, tenant: u16) -> usize {
-    let mut send_request = || {
-        let id = p.send_request(0, tenant, 60_000.0);
-        sends(p, id) > 0
+fn count_sent_at_once(proxy: &mut ProxyHarness, tenant: u16) -> usize {
+    let mut is_sent_at_once = || {
+        let request = proxy.submit_request(0, tenant, 60_000.0);
+        attempt_count(proxy, request) > 0
     };
-    (0..100).take_while(|_| send_request()).count()
+    (0..100).take_while(|_| is_sent_at_once()).count()
 }
 
 /// Nobody is out or waits, and the counts say so.
-fn assert_idle(p: &ProxyHarness) {
-    let g = p.balancer.gauges();
-    let counts = (g.requests, g.in_flight, g.in_flight_in_slices, g.queued);
+fn assert_idle(proxy: &ProxyHarness) {
+    let gauges = proxy.balancer.gauges();
+    let counts = (gauges.requests, gauges.in_flight, gauges.in_flight_in_slices, gauges.queued);
     assert_eq!(counts, (0, 0.0, 0.0, 0), "what is over still counts");
 }
 
 #[test]
-fn a_request_keeps_the_idempotency_that_it_was_admitted_with() {
-    for (before, after) in [(RETRYABLE, FRAGILE), (FRAGILE, RETRYABLE)] {
-        let mut p = ProxyHarness::new(with(vec![class(1000.0, 1.0, before)]), 1, endpoints(4));
-        let old = p.send_request(0, 0, 5000.0);
-        p.configure(with(vec![class(1000.0, 1.0, after)]), ONE.into(), vec![]).expect("sound");
-        let new = p.send_request(0, 0, 5000.0);
-        for (id, idempotency) in [(old, before), (new, after)] {
-            p.finish_attempt(id, 0, Outcome::Reset);
-            let again = idempotency == RETRYABLE;
-            assert_eq!(sends(&p, id), if again { 2 } else { 1 }, "taken as {idempotency:?}");
-            assert_eq!(end(&p, id), if again { None } else { Some("failed") }, "taken as {idempotency:?}");
+fn open_request_keeps_its_idempotency() {
+    for (before, after) in [(IDEMPOTENT, NON_IDEMPOTENT), (NON_IDEMPOTENT, IDEMPOTENT)] {
+        let mut proxy = ProxyHarness::new(settings_with(vec![class(1000.0, 1.0, before)]), 1, endpoints(4));
+        let old = proxy.submit_request(0, 0, 5000.0);
+        proxy
+            .configure(settings_with(vec![class(1000.0, 1.0, after)]), CONTINUE_ONE.into(), vec![])
+            .expect("sound");
+        let new = proxy.submit_request(0, 0, 5000.0);
+        for (request, idempotency) in [(old, before), (new, after)] {
+            proxy.finish_attempt(request, 0, Outcome::Reset);
+            let is_retried = idempotency == IDEMPOTENT;
+            assert_eq!(
+                attempt_count(&proxy, request),
+                if is_retried { 2 } else { 1 },
+                "taken as {idempotency:?}"
+            );
+            assert_eq!(
+                end_of(&proxy, request),
+                if is_retried { None } else { Some("failed") },
+                "taken as {idempotency:?}"
+            );
         }
-        p.out().into_iter().for_each(|(id, n, _)| p.finish_attempt(id, n, Outcome::Ok));
-        assert_idle(&p);
+        proxy
+            .attempts_in_flight()
+            .into_iter()
+            .for_each(|(request, attempt, _)| proxy.finish_attempt(request, attempt, Outcome::Ok));
+        assert_idle(&proxy);
     }
 }
 
 /// Repeats of one that was taken with a window end with that window, and not past its attempts.
 #[test]
-fn a_request_keeps_its_window_and_its_attempts() {
-    let dedup =
-        |window| Idempotency::Deduplicated { scope: DeduplicationScope::AllBackends, window_ms: window };
-    let mut short = with(vec![class(1000.0, 1.0, dedup(200.0))]);
+fn open_request_keeps_its_window_and_attempt_limit() {
+    let dedup = |window_ms| Idempotency::Deduplicated { scope: DeduplicationScope::AllBackends, window_ms };
+    let mut short = settings_with(vec![class(1000.0, 1.0, dedup(200.0))]);
     short.capabilities.max_attempts = 2;
-    let long = with(vec![class(1000.0, 1.0, dedup(60_000.0))]);
-    for (wait, outcome, most) in [(250.0, Outcome::Reset, 1), (5.0, Outcome::Full, 2)] {
-        let mut p = ProxyHarness::new(short.clone(), 1, endpoints(8));
-        let old = p.send_request(0, 0, 5000.0);
-        p.configure(long.clone(), ONE.into(), vec![]).expect("sound");
-        let new = p.send_request(0, 0, 5000.0);
-        p.advance(p.now + wait);
-        for n in 0..2 {
-            for id in [old, new] {
-                if sends(&p, id) > n {
-                    p.finish_attempt(id, n, outcome);
+    let long = settings_with(vec![class(1000.0, 1.0, dedup(60_000.0))]);
+    for (delay_ms, outcome, max_attempts) in [(250.0, Outcome::Reset, 1), (5.0, Outcome::Full, 2)] {
+        let mut proxy = ProxyHarness::new(short.clone(), 1, endpoints(8));
+        let old = proxy.submit_request(0, 0, 5000.0);
+        proxy.configure(long.clone(), CONTINUE_ONE.into(), vec![]).expect("sound");
+        let new = proxy.submit_request(0, 0, 5000.0);
+        proxy.advance_to(proxy.now_ms + delay_ms);
+        for attempt in 0..2 {
+            for request in [old, new] {
+                if attempt_count(&proxy, request) > attempt {
+                    proxy.finish_attempt(request, attempt, outcome);
                 }
             }
         }
-        assert_eq!(sends(&p, old), most, "{outcome:?}");
-        assert!(sends(&p, new) > most, "{outcome:?}: the new one goes on");
+        assert_eq!(attempt_count(&proxy, old), max_attempts, "{outcome:?}");
+        assert!(attempt_count(&proxy, new) > max_attempts, "{outcome:?}: the new one goes on");
     }
 }
 
 #[test]
-fn a_class_that_is_gone_drains() {
-    let (kept, gone) = (class(1000.0, 1.0, FRAGILE), class(400.0, 5.0, RETRYABLE));
-    let mut p = ProxyHarness::new(with(vec![gone.clone(), kept.clone()]), 1, endpoints(4));
-    let old = p.send_request(0, 0, 5000.0);
-    p.configure(with(vec![kept.clone()]), vec![Some(1)], vec![]).expect("sound");
-    assert_eq!(end(&p, old), None);
+fn removed_class_serves_its_open_requests() {
+    let (kept, gone) = (class(1000.0, 1.0, NON_IDEMPOTENT), class(400.0, 5.0, IDEMPOTENT));
+    let mut proxy = ProxyHarness::new(settings_with(vec![gone.clone(), kept.clone()]), 1, endpoints(4));
+    let old = proxy.submit_request(0, 0, 5000.0);
+    proxy.configure(settings_with(vec![kept.clone()]), vec![Some(1)], vec![]).expect("sound");
+    assert_eq!(end_of(&proxy, old), None);
     // Its place is another's now; the place behind that is nobody's.
-    let new = p.send_request(0, 0, 5000.0);
-    let none = p.send_request(1, 0, 5000.0);
-    assert_eq!((end(&p, none), sends(&p, none)), (Some("failed"), 0));
-    p.finish_attempt(old, 0, Outcome::Error);
-    assert_eq!(sends(&p, old), 2, "it is repeatable as it was taken");
-    p.finish_attempt(new, 0, Outcome::Error);
-    assert_eq!((end(&p, new), sends(&p, new)), (Some("failed"), 1));
-    p.finish_attempt(old, 1, Outcome::Ok);
-    assert_eq!(end(&p, old), Some("served"));
-    assert_idle(&p);
-    p.configure(with(vec![kept, gone]), vec![Some(0), None], vec![]).expect("sound");
-    assert_eq!(p.balancer.gauges().classes, 2, "the drained one's record serves again");
+    let new = proxy.submit_request(0, 0, 5000.0);
+    let none = proxy.submit_request(1, 0, 5000.0);
+    assert_eq!((end_of(&proxy, none), attempt_count(&proxy, none)), (Some("failed"), 0));
+    proxy.finish_attempt(old, 0, Outcome::Error);
+    assert_eq!(attempt_count(&proxy, old), 2, "it is repeatable as it was taken");
+    proxy.finish_attempt(new, 0, Outcome::Error);
+    assert_eq!((end_of(&proxy, new), attempt_count(&proxy, new)), (Some("failed"), 1));
+    proxy.finish_attempt(old, 1, Outcome::Ok);
+    assert_eq!(end_of(&proxy, old), Some("served"));
+    assert_idle(&proxy);
+    proxy.configure(settings_with(vec![kept, gone]), vec![Some(0), None], vec![]).expect("sound");
+    assert_eq!(proxy.balancer.gauges().classes, 2, "the drained one's record serves again");
 }
 
 /// What was charged goes back to the tenant that paid it, wherever that stands now, and to nobody if it is gone.
 #[test]
-fn a_charge_stays_with_its_tenant() {
-    let of =
-        |quotas: &[f64]| Settings { tenants: tenants(quotas), ..with(vec![class(1000.0, 1.0, RETRYABLE)]) };
-    for (quotas, continued, tenant, full, given) in [
+fn quota_charge_returns_to_the_tenant_that_paid() {
+    let settings_with_quotas = |quotas: &[f64]| Settings {
+        tenants: tenants(quotas),
+        ..settings_with(vec![class(1000.0, 1.0, IDEMPOTENT)])
+    };
+    for (quotas, continued, tenant, before_end, after_end) in [
         ([3.0, 0.0], [Some(0), Some(1)], 0, 0, 3),
         ([0.0, 3.0], [Some(1), Some(0)], 1, 0, 3),
         ([3.0, 0.0], [None, Some(1)], 0, 3, 0),
     ] {
-        let mut p = ProxyHarness::new(of(&[3.0, 0.0]), 1, endpoints(4));
-        let paid: Vec<RequestId> = (0..3).map(|_| p.send_request(0, 0, 5000.0)).collect();
-        assert!(within(&mut p, 1) > 3, "the rest of the limit");
-        assert_eq!(within(&mut p, 0), 0, "all is spent");
-        p.configure(of(&quotas), ONE.into(), continued.into()).expect("sound");
-        assert_eq!(within(&mut p, tenant), full, "{continued:?}");
-        paid.into_iter().for_each(|id| p.disconnect(id));
-        assert_eq!(within(&mut p, tenant), given, "{continued:?}");
+        let mut proxy = ProxyHarness::new(settings_with_quotas(&[3.0, 0.0]), 1, endpoints(4));
+        let paid: Vec<RequestId> = (0..3).map(|_| proxy.submit_request(0, 0, 5000.0)).collect();
+        assert!(count_sent_at_once(&mut proxy, 1) > 3, "the rest of the limit");
+        assert_eq!(count_sent_at_once(&mut proxy, 0), 0, "all is spent");
+        proxy.configure(settings_with_quotas(&quotas), CONTINUE_ONE.into(), continued.into()).expect("sound");
+        assert_eq!(count_sent_at_once(&mut proxy, tenant), before_end, "{continued:?}");
+        paid.into_iter().for_each(|request| proxy.disconnect(request));
+        assert_eq!(count_sent_at_once(&mut proxy, tenant), after_end, "{continued:?}");
     }
 }
 
 /// The learned limit, the mean latency of a class that only changes its priority weight, and slow-start budget hold.
 #[test]
-fn what_was_learned_holds() {
-    let two =
-        |priority_weight| with(vec![class(1000.0, priority_weight, RETRYABLE), class(500.0, 1.0, FRAGILE)]);
-    let mut p = ProxyHarness::new(two(1.0), 1, endpoints(10));
-    p.serve(5000.0, 4, 0, 40.0);
-    let before = p.balancer.gauges();
+fn learned_limit_survives_a_configuration() {
+    let settings_with_weight = |priority_weight| {
+        settings_with(vec![class(1000.0, priority_weight, IDEMPOTENT), class(500.0, 1.0, NON_IDEMPOTENT)])
+    };
+    let mut proxy = ProxyHarness::new(settings_with_weight(1.0), 1, endpoints(10));
+    proxy.serve_steadily(5000.0, 4, 0, 40.0);
+    let before = proxy.balancer.gauges();
     for priority_weight in [2.0, 3.0, 1.0] {
-        p.configure(two(priority_weight), TWO.into(), vec![]).expect("sound");
-        let after = p.balancer.gauges();
+        proxy.configure(settings_with_weight(priority_weight), CONTINUE_TWO.into(), vec![]).expect("sound");
+        let after = proxy.balancer.gauges();
         assert_eq!((after.concurrency_limit, after.in_flight), (before.concurrency_limit, before.in_flight));
     }
 }
 
 /// Of two instances alike, one is told the same settings again and again between its events.
 #[test]
-fn the_same_settings_again_change_nothing() {
-    let s = Settings { tenants: tenants(&[50.0]), ..with(vec![class(300.0, 1.0, RETRYABLE)]) };
-    let run = |again: bool| {
-        let mut p = ProxyHarness::new(s.clone(), 9, endpoints(6));
+fn configuring_the_same_settings_changes_nothing() {
+    let settings =
+        Settings { tenants: tenants(&[50.0]), ..settings_with(vec![class(300.0, 1.0, IDEMPOTENT)]) };
+    let run = |is_reconfigured: bool| {
+        let mut proxy = ProxyHarness::new(settings.clone(), 9, endpoints(6));
         let mut sent = Vec::new();
         for n in 0..2000u64 {
-            let id = p.send_request(0, 0, 900.0);
-            sent.extend(p.requests[&id].sends.first().map(|s| s.backend));
-            p.advance(p.now + 5.0);
-            for (id, attempt, s) in p.out() {
-                if p.now - s.at >= 60.0 + f64::from(s.backend) * 5.0 {
-                    p.finish_attempt(
-                        id,
+            let request = proxy.submit_request(0, 0, 900.0);
+            sent.extend(proxy.requests[&request].attempts.first().map(|sent| sent.backend));
+            proxy.advance_to(proxy.now_ms + 5.0);
+            for (request, attempt, sent) in proxy.attempts_in_flight() {
+                if proxy.now_ms - sent.sent_at_ms >= 60.0 + f64::from(sent.backend) * 5.0 {
+                    proxy.finish_attempt(
+                        request,
                         attempt,
-                        if (id + n) % 17 == 0 { Outcome::Full } else { Outcome::Ok },
+                        if (request + n) % 17 == 0 { Outcome::Full } else { Outcome::Ok },
                     );
                 }
             }
-            p.forget();
-            if again {
-                let first = p.configure(s.clone(), ONE.into(), ONE.into()).expect("sound");
+            proxy.forget_finished_requests();
+            if is_reconfigured {
+                let first = proxy
+                    .configure(settings.clone(), CONTINUE_ONE.into(), CONTINUE_ONE.into())
+                    .expect("sound");
                 assert_eq!(first, 0, "the number counts contents");
             }
         }
-        (sent, p.balancer.gauges())
+        (sent, proxy.balancer.gauges())
     };
     assert_eq!(run(false), run(true));
 }
 
 /// Held requests wait on, in their order, and are let go once the new settings have room.
 #[test]
-fn held_requests_wait_on_in_their_order() {
-    let two = |priority_weight| {
-        with(vec![class(8000.0, priority_weight, RETRYABLE), class(8000.0, 1.0, RETRYABLE)])
+fn queued_requests_keep_their_order() {
+    let settings_with_weight = |priority_weight| {
+        settings_with(vec![class(8000.0, priority_weight, IDEMPOTENT), class(8000.0, 1.0, IDEMPOTENT)])
     };
-    let mut p = ProxyHarness::new(two(3.0), 1, endpoints(2));
+    let mut proxy = ProxyHarness::new(settings_with_weight(3.0), 1, endpoints(2));
     // Both slices are full, then some are held in each.
     for n in 0..2 {
         while {
-            let id = p.send_request(n, 0, 60_000.0);
-            sends(&p, id) > 0
+            let request = proxy.submit_request(n, 0, 60_000.0);
+            attempt_count(&proxy, request) > 0
         } {}
     }
     for n in 0..4 {
-        p.send_request(n % 2, 0, 60_000.0);
+        proxy.submit_request(n % 2, 0, 60_000.0);
     }
-    let queued = |p: &ProxyHarness, class: usize| -> Vec<RequestId> {
-        let waits =
-            p.requests.iter().filter(|(_, a)| a.class == class && a.sends.is_empty() && a.ended.is_none());
-        waits.map(|(id, _)| *id).collect()
+    let queued = |proxy: &ProxyHarness, class: usize| -> Vec<RequestId> {
+        let queued_requests = proxy.requests.iter().filter(|(_, record)| {
+            record.class == class && record.attempts.is_empty() && record.ended.is_none()
+        });
+        queued_requests.map(|(request, _)| *request).collect()
     };
-    let (first, second) = (queued(&p, 0), queued(&p, 1));
+    let (first, second) = (queued(&proxy, 0), queued(&proxy, 1));
     assert!(first.len() >= 3 && second.len() >= 3, "{first:?} {second:?}");
     // The classes change places, and worths: what waits does so still, each class in its order.
-    let swapped = with(vec![class(8000.0, 5.0, RETRYABLE), class(8000.0, 1.0, FRAGILE)]);
-    p.configure(swapped, vec![Some(1), Some(0)], vec![]).expect("sound");
-    assert_eq!(p.balancer.gauges().queued, first.len() + second.len());
+    let swapped = settings_with(vec![class(8000.0, 5.0, IDEMPOTENT), class(8000.0, 1.0, NON_IDEMPOTENT)]);
+    proxy.configure(swapped, vec![Some(1), Some(0)], vec![]).expect("sound");
+    assert_eq!(proxy.balancer.gauges().queued, first.len() + second.len());
     let mut order = Vec::new();
-    while !(queued(&p, 0).is_empty() && queued(&p, 1).is_empty()) {
-        let waits = [queued(&p, 0), queued(&p, 1)].concat();
-        let (id, n, _) = p.out().remove(0);
-        p.finish_attempt(id, n, Outcome::Ok);
-        order.extend(waits.into_iter().filter(|id| sends(&p, *id) > 0));
+    while !(queued(&proxy, 0).is_empty() && queued(&proxy, 1).is_empty()) {
+        let still_queued = [queued(&proxy, 0), queued(&proxy, 1)].concat();
+        let (request, attempt, _) = proxy.attempts_in_flight().remove(0);
+        proxy.finish_attempt(request, attempt, Outcome::Ok);
+        order.extend(still_queued.into_iter().filter(|request| attempt_count(&proxy, *request) > 0));
     }
     for of in [first, second] {
-        let of_class: Vec<RequestId> = order.iter().copied().filter(|id| of.contains(id)).collect();
+        let of_class: Vec<RequestId> = order.iter().copied().filter(|request| of.contains(request)).collect();
         assert_eq!(of_class, of, "in the order they came");
     }
-    p.out().into_iter().for_each(|(id, n, _)| p.finish_attempt(id, n, Outcome::Ok));
-    assert_idle(&p);
+    proxy
+        .attempts_in_flight()
+        .into_iter()
+        .for_each(|(request, attempt, _)| proxy.finish_attempt(request, attempt, Outcome::Ok));
+    assert_idle(&proxy);
 }
 
 #[test]
-fn a_quota_counts_from_its_change_on() {
-    let of = |quota| {
-        let s = with(vec![class(20_000.0, 1.0, RETRYABLE)]);
-        Settings { tenants: tenants(&[quota, 0.0]), ..s }
+fn new_quota_counts_from_its_configuration() {
+    let settings_with_quota = |quota| {
+        let settings = settings_with(vec![class(20_000.0, 1.0, IDEMPOTENT)]);
+        Settings { tenants: tenants(&[quota, 0.0]), ..settings }
     };
     for (before, after) in [(2.0, 6.0), (6.0, 3.0), (3.0, 12.0), (12.0, 12.0)] {
-        let mut p = ProxyHarness::new(of(before), 1, endpoints(8));
-        assert!(within(&mut p, 1) > 20, "the rest of the limit");
-        assert_eq!(within(&mut p, 0), before as usize, "all of it");
-        p.configure(of(after), ONE.into(), TWO.into()).expect("sound");
-        assert_eq!(within(&mut p, 0), 0, "no quota of a time before the change");
-        p.advance(p.now + 1000.0);
-        assert_eq!(within(&mut p, 0), after as usize);
+        let mut proxy = ProxyHarness::new(settings_with_quota(before), 1, endpoints(8));
+        assert!(count_sent_at_once(&mut proxy, 1) > 20, "the rest of the limit");
+        assert_eq!(count_sent_at_once(&mut proxy, 0), before as usize, "all of it");
+        proxy.configure(settings_with_quota(after), CONTINUE_ONE.into(), CONTINUE_TWO.into()).expect("sound");
+        assert_eq!(count_sent_at_once(&mut proxy, 0), 0, "no quota of a time before the change");
+        proxy.advance_to(proxy.now_ms + 1000.0);
+        assert_eq!(count_sent_at_once(&mut proxy, 0), after as usize);
     }
 }
 
 /// What can't be put in force changes nothing at all: the instance goes on as one that was never told of it.
 #[test]
-fn a_bad_configuration_changes_nothing() {
-    let s = Settings { tenants: tenants(&[5.0]), ..with(vec![class(3000.0, 1.0, RETRYABLE)]) };
+fn rejected_configuration_changes_nothing() {
+    let settings =
+        Settings { tenants: tenants(&[5.0]), ..settings_with(vec![class(3000.0, 1.0, IDEMPOTENT)]) };
     let good = SettingsUpdate {
-        settings: Settings { over_quota_weight: 0.5, ..s.clone() },
-        continued_classes: ONE.into(),
-        continued_tenants: ONE.into(),
+        settings: Settings { over_quota_weight: 0.5, ..settings.clone() },
+        continued_classes: CONTINUE_ONE.into(),
+        continued_tenants: CONTINUE_ONE.into(),
         ..SettingsUpdate::default()
     };
     let bad = |change: fn(&mut SettingsUpdate)| {
@@ -274,78 +297,81 @@
         ("discovery", bad(|c| c.settings.discovery_mode = DiscoveryMode::Poll)),
         ("version", bad(|c| c.version = 6)),
         ("version", bad(|c| c.version = 7)),
-        ("version", bad(|c| (c.version, c.settings, c.content_hash) = (7, with(vec![]), 1))),
+        ("version", bad(|c| (c.version, c.settings, c.content_hash) = (7, settings_with(vec![]), 1))),
     ];
-    let run = |handle: bool| {
-        let mut p = ProxyHarness::new(s.clone(), 5, endpoints(3));
-        let first = SettingsUpdate { version: 7, settings: s.clone(), ..good.clone() };
-        assert_eq!(p.balancer.configure(p.now, first, &mut Vec::new()), Ok(7));
+    let run = |is_configured: bool| {
+        let mut proxy = ProxyHarness::new(settings.clone(), 5, endpoints(3));
+        let first = SettingsUpdate { version: 7, settings: settings.clone(), ..good.clone() };
+        assert_eq!(proxy.balancer.configure(proxy.now_ms, first, &mut Vec::new()), Ok(7));
         for (field, next) in &wrong {
             for n in 0..30 {
-                p.send_request(0, 0, 9000.0);
-                p.advance(p.now + 5.0);
+                proxy.submit_request(0, 0, 9000.0);
+                proxy.advance_to(proxy.now_ms + 5.0);
                 // Too slow for all: the limit is full, and some are held.
-                if let Some((id, n, _)) = p.out().first().cloned().filter(|_| n % 3 == 0) {
-                    p.finish_attempt(id, n, Outcome::Ok);
+                if let Some((request, attempt, _)) =
+                    proxy.attempts_in_flight().first().cloned().filter(|_| n % 3 == 0)
+                {
+                    proxy.finish_attempt(request, attempt, Outcome::Ok);
                 }
             }
-            if handle {
+            if is_configured {
                 let mut actions = Vec::new();
-                let said = p.balancer.configure(p.now, next.clone(), &mut actions).expect_err(field);
-                assert!(said.field == *field || next.settings.classes.is_empty(), "{said} and not {field}");
-                assert!(actions.is_empty() && p.balancer.version() == 7);
+                let error =
+                    proxy.balancer.configure(proxy.now_ms, next.clone(), &mut actions).expect_err(field);
+                assert!(error.field == *field || next.settings.classes.is_empty(), "{error} and not {field}");
+                assert!(actions.is_empty() && proxy.balancer.version() == 7);
             }
         }
-        (format!("{:?}", p.requests), p.balancer.gauges())
+        (format!("{:?}", proxy.requests), proxy.balancer.gauges())
     };
     assert_eq!(run(false), run(true));
 }
 
 #[test]
-fn versions_never_go_back() {
-    let s = with(vec![class(300.0, 1.0, RETRYABLE)]);
-    let mut balancer = Balancer::new(s.clone(), 1).expect("sound");
-    let mut handle = |version, priority_weight, content_hash| {
-        let mut settings = s.clone();
+fn version_never_decreases() {
+    let settings = settings_with(vec![class(300.0, 1.0, IDEMPOTENT)]);
+    let mut balancer = Balancer::new(settings.clone(), 1).expect("sound");
+    let mut configure = |version, priority_weight, content_hash| {
+        let mut settings = settings.clone();
         settings.classes[0].priority_weight = priority_weight;
-        let next = SettingsUpdate {
+        let update = SettingsUpdate {
             version,
             settings,
-            continued_classes: ONE.into(),
+            continued_classes: CONTINUE_ONE.into(),
             continued_tenants: vec![],
             content_hash,
         };
-        balancer.configure(0.0, next, &mut Vec::new()).map_err(|e| e.field)
+        balancer.configure(0.0, update, &mut Vec::new()).map_err(|e| e.field)
     };
     let stale = || Err("version".to_string());
-    assert_eq!(handle(0, 1.0, 0), Ok(0), "as it was");
-    assert_eq!(handle(0, 2.0, 0), Ok(1), "it counts by itself");
-    assert_eq!(handle(0, 2.0, 0), Ok(1));
-    assert_eq!(handle(0, 2.0, 1), Ok(2), "other contents that are not the module's");
-    assert_eq!(handle(9, 2.0, 1), Ok(9), "the same by another number");
-    assert_eq!(handle(9, 2.0, 1), Ok(9), "told twice");
-    assert_eq!(handle(9, 3.0, 1), stale());
-    assert_eq!(handle(9, 2.0, 0), stale());
-    assert_eq!(handle(8, 3.0, 1), stale());
-    assert_eq!(handle(8, 2.0, 1), stale(), "not even with the same contents");
-    assert_eq!(handle(0, 3.0, 1), Ok(10));
+    assert_eq!(configure(0, 1.0, 0), Ok(0), "as it was");
+    assert_eq!(configure(0, 2.0, 0), Ok(1), "it counts by itself");
+    assert_eq!(configure(0, 2.0, 0), Ok(1));
+    assert_eq!(configure(0, 2.0, 1), Ok(2), "other contents that are not the module's");
+    assert_eq!(configure(9, 2.0, 1), Ok(9), "the same by another number");
+    assert_eq!(configure(9, 2.0, 1), Ok(9), "told twice");
+    assert_eq!(configure(9, 3.0, 1), stale());
+    assert_eq!(configure(9, 2.0, 0), stale());
+    assert_eq!(configure(8, 3.0, 1), stale());
+    assert_eq!(configure(8, 2.0, 1), stale(), "not even with the same contents");
+    assert_eq!(configure(0, 3.0, 1), Ok(10));
 }
 
 /// Thousands of random changes under traffic: the checks of the rules hold for every request as it was taken, each
 /// has one answer, the counts return to nothing, and nothing grows with the number of changes.
 #[test]
-fn thousands_of_changes_under_traffic() {
-    let first = decisions(7, 3000);
-    assert_eq!(first, decisions(7, 3000), "the same seed decides alike");
-    assert_ne!(first, decisions(8, 3000));
+fn rules_hold_over_random_changes_under_traffic() {
+    let first = run_random_changes(7, 3000);
+    assert_eq!(first, run_random_changes(7, 3000), "the same seed decides alike");
+    assert_ne!(first, run_random_changes(8, 3000));
 }
 
 /// Runs so many changes with traffic, and gives all ends and sends in their order.
-fn decisions(seed: u64, changes: usize) -> Vec<String> {
+fn run_random_changes(seed: u64, changes: usize) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let idempotency = |n: u8| match n {
-        0 => RETRYABLE,
-        1 => FRAGILE,
+        0 => IDEMPOTENT,
+        1 => NON_IDEMPOTENT,
         2 => Idempotency::Deduplicated { scope: DeduplicationScope::AllBackends, window_ms: 400.0 },
         _ => Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window_ms: 900.0 },
     };
@@ -357,91 +383,94 @@
     };
     let list: Vec<EndpointInfo> =
         (1..=12).map(|b| EndpointInfo { zone: b as u16 % 3, ..endpoint(b) }).collect();
-    let start = Settings { tenants: tenants(&[20.0]), ..with(vec![new_class(&mut rng)]) };
-    let mut p = ProxyHarness::new(start, seed, list.clone());
-    let mut story = Vec::new();
+    let start = Settings { tenants: tenants(&[20.0]), ..settings_with(vec![new_class(&mut rng)]) };
+    let mut proxy = ProxyHarness::new(start, seed, list.clone());
+    let mut decisions = Vec::new();
     for _ in 0..changes {
-        let mut s = p.s.clone();
-        let mut classes: Vec<Option<u16>> = (0..s.classes.len() as u16).map(Some).collect();
-        let mut places: Vec<Option<u16>> = (0..s.tenants.len() as u16).map(Some).collect();
+        let mut settings = proxy.settings.clone();
+        let mut continued_classes: Vec<Option<u16>> = (0..settings.classes.len() as u16).map(Some).collect();
+        let mut continued_tenants: Vec<Option<u16>> = (0..settings.tenants.len() as u16).map(Some).collect();
         match rng.u8(..9) {
-            0 if s.classes.len() < 6 => {
-                let at = rng.usize(..=s.classes.len());
-                s.classes.insert(at, new_class(&mut rng));
-                classes.insert(at, None);
+            0 if settings.classes.len() < 6 => {
+                let at = rng.usize(..=settings.classes.len());
+                settings.classes.insert(at, new_class(&mut rng));
+                continued_classes.insert(at, None);
             }
-            1 if s.classes.len() > 1 => {
-                let at = rng.usize(..s.classes.len());
-                s.classes.remove(at);
-                classes.remove(at);
+            1 if settings.classes.len() > 1 => {
+                let at = rng.usize(..settings.classes.len());
+                settings.classes.remove(at);
+                continued_classes.remove(at);
             }
             2 => {
-                let at = rng.usize(..s.classes.len());
-                s.classes[at] = new_class(&mut rng);
+                let at = rng.usize(..settings.classes.len());
+                settings.classes[at] = new_class(&mut rng);
             }
             3 => {
-                let (a, b) = (rng.usize(..s.classes.len()), rng.usize(..s.classes.len()));
-                s.classes.swap(a, b);
-                classes.swap(a, b);
+                let (a, b) = (rng.usize(..settings.classes.len()), rng.usize(..settings.classes.len()));
+                settings.classes.swap(a, b);
+                continued_classes.swap(a, b);
             }
-            4 if s.tenants.len() < 5 => {
-                let at = rng.usize(..=s.tenants.len());
-                s.tenants.insert(at, Tenant { quota_per_s: f64::from(rng.u8(..50)) });
-                places.insert(at, None);
+            4 if settings.tenants.len() < 5 => {
+                let at = rng.usize(..=settings.tenants.len());
+                settings.tenants.insert(at, Tenant { quota_per_s: f64::from(rng.u8(..50)) });
+                continued_tenants.insert(at, None);
             }
-            5 if !s.tenants.is_empty() => {
-                let at = rng.usize(..s.tenants.len());
-                s.tenants.remove(at);
-                places.remove(at);
+            5 if !settings.tenants.is_empty() => {
+                let at = rng.usize(..settings.tenants.len());
+                settings.tenants.remove(at);
+                continued_tenants.remove(at);
             }
             6 => {
-                s.instance_count = rng.u32(1..5);
-                s.instance_index = rng.u32(..s.instance_count);
+                settings.instance_count = rng.u32(1..5);
+                settings.instance_index = rng.u32(..settings.instance_count);
             }
-            7 => s.capabilities.max_attempts = rng.u32(1..6),
+            7 => settings.capabilities.max_attempts = rng.u32(1..6),
             _ => {
-                s.objective.worst_class_weight = f64::from(rng.u8(..10)) / 10.0;
-                s.over_quota_weight = f64::from(rng.u8(..10)) / 10.0;
-                s.guarantees.warm_up_ms = 1000.0 * f64::from(rng.u8(1..20));
-                s.objective.cross_zone_price = f64::from(rng.u8(..3)) / 10.0;
+                settings.objective.worst_class_weight = f64::from(rng.u8(..10)) / 10.0;
+                settings.over_quota_weight = f64::from(rng.u8(..10)) / 10.0;
+                settings.guarantees.warm_up_ms = 1000.0 * f64::from(rng.u8(1..20));
+                settings.objective.cross_zone_price = f64::from(rng.u8(..3)) / 10.0;
             }
         }
-        p.configure(s, classes, places).expect("sound");
+        proxy.configure(settings, continued_classes, continued_tenants).expect("sound");
         for _ in 0..rng.u8(..12) {
-            let class = rng.usize(..p.s.classes.len());
-            let tenant = rng.u16(..p.s.tenants.len().max(1) as u16);
+            let class = rng.usize(..proxy.settings.classes.len());
+            let tenant = rng.u16(..proxy.settings.tenants.len().max(1) as u16);
             let key = rng.u64(..4);
-            let id = match rng.u8(..8) {
-                0 => p.send_streamed_request(class, 600.0),
-                _ => p.send_keyed_request(key, class, tenant, f64::from(rng.u16(20..1500))),
+            let request = match rng.u8(..8) {
+                0 => proxy.submit_streamed_request(class, 600.0),
+                _ => proxy.submit_keyed_request(key, class, tenant, f64::from(rng.u16(20..1500))),
             };
-            if rng.u8(..20) == 0 && p.requests[&id].ended.is_none() {
-                p.disconnect(id);
+            if rng.u8(..20) == 0 && proxy.requests[&request].ended.is_none() {
+                proxy.disconnect(request);
             }
         }
-        p.advance(p.now + f64::from(rng.u8(1..30)));
-        for (id, n, s) in p.out() {
-            if p.now - s.at > 10.0 && rng.u8(..3) > 0 {
+        proxy.advance_to(proxy.now_ms + f64::from(rng.u8(1..30)));
+        for (request, attempt, sent) in proxy.attempts_in_flight() {
+            if proxy.now_ms - sent.sent_at_ms > 10.0 && rng.u8(..3) > 0 {
                 let outcomes = [Outcome::Ok, Outcome::Ok, Outcome::Full, Outcome::Error, Outcome::Reset];
-                p.finish_attempt(id, n, outcomes[rng.usize(..outcomes.len())]);
+                proxy.finish_attempt(request, attempt, outcomes[rng.usize(..outcomes.len())]);
             }
         }
-        let over = p.requests.iter().filter(|(_, a)| a.ended.is_some());
-        story.extend(over.map(|(id, a)| format!("{id} {:?} {:?}", a.ended, a.sends)));
-        p.forget();
-        let (g, open) = (p.balancer.gauges(), p.requests.len());
-        assert!(g.requests <= open, "{} requests of {open}", g.requests);
-        assert_eq!(g.in_flight, g.in_flight_in_slices);
-        assert!(g.classes <= 2 * 6 + open, "{} records of classes", g.classes);
+        let finished = proxy.requests.iter().filter(|(_, record)| record.ended.is_some());
+        decisions.extend(
+            finished.map(|(request, record)| format!("{request} {:?} {:?}", record.ended, record.attempts)),
+        );
+        proxy.forget_finished_requests();
+        let (gauges, open) = (proxy.balancer.gauges(), proxy.requests.len());
+        assert!(gauges.requests <= open, "{} requests of {open}", gauges.requests);
+        assert_eq!(gauges.in_flight, gauges.in_flight_in_slices);
+        assert!(gauges.classes <= 2 * 6 + open, "{} records of classes", gauges.classes);
     }
     // All that is open ends by itself.
-    p.advance(p.now + 3000.0);
-    assert!(p.requests.values().all(|a| a.ended.is_some()), "without an answer");
-    let same = (0..p.s.classes.len() as u16).map(Some).collect();
-    let places = (0..p.s.tenants.len() as u16).map(Some).collect();
-    let s = Settings { over_quota_weight: p.s.over_quota_weight + 1.0, ..p.s.clone() };
-    p.configure(s, same, places).expect("sound");
-    assert_idle(&p);
-    assert!(p.balancer.gauges().classes <= 12);
-    story
+    proxy.advance_to(proxy.now_ms + 3000.0);
+    assert!(proxy.requests.values().all(|record| record.ended.is_some()), "without an answer");
+    let continued_classes = (0..proxy.settings.classes.len() as u16).map(Some).collect();
+    let continued_tenants = (0..proxy.settings.tenants.len() as u16).map(Some).collect();
+    let settings =
+        Settings { over_quota_weight: proxy.settings.over_quota_weight + 1.0, ..proxy.settings.clone() };
+    proxy.configure(settings, continued_classes, continued_tenants).expect("sound");
+    assert_idle(&proxy);
+    assert!(proxy.balancer.gauges().classes <= 12);
+    decisions
 }
--- a/crates/balancer/tests/support/harness.rs
+++ b/crates/balancer/tests/support/harness.rs
@@ -5,7 +5,7 @@
 use foldhitch_balancer::api::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-pub const ANSWER_MARGIN_MS: f64 = 20.0;
+pub const FINAL_ANSWER_TOLERANCE_MS: f64 = 20.0;
 
 pub fn class(latency_objective_ms: f64, priority_weight: f64, idempotency: Idempotency) -> Class {
     Class { latency_objective_ms, priority_weight, idempotency, is_ordered_by_key: false }
@@ -44,13 +44,13 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Sent {
+pub struct SentAttempt {
     pub backend: BackendId,
-    pub at: f64,
+    pub sent_at_ms: f64,
     pub expires_at_ms: f64,
     pub outcome: Option<Outcome>,
     /// When the outcome came.
-    pub over: f64,
+    pub finished_at_ms: f64,
 }
 
 #[derive(Debug, Clone)]
@@ -58,89 +58,100 @@
     pub key: u64,
     pub class: usize,
     /// The class and the most attempts, as it was taken: settings that change later change neither.
-    pub taken: (Class, u32),
+    pub admitted_with: (Class, u32),
     pub deadline_ms: f64,
-    pub sends: Vec<Sent>,
+    pub attempts: Vec<SentAttempt>,
     /// When it ended and how: served, refused, failed or hung up.
     pub ended: Option<(f64, &'static str)>,
 }
 
 pub struct ProxyHarness {
     pub balancer: Balancer,
-    pub s: Settings,
-    pub now: f64,
+    pub settings: Settings,
+    pub now_ms: f64,
     pub requests: BTreeMap<RequestId, RequestRecord>,
-    pub listed: HashMap<BackendId, EndpointInfo>,
-    pub polls: Vec<f64>,
+    pub known_endpoints: HashMap<BackendId, EndpointInfo>,
+    pub polled_at_ms: Vec<f64>,
     /// Backends that the operators left out.
     pub suspended: BTreeSet<BackendId>,
     /// Whether clients are sent away, each time that it changed.
-    pub drains: Vec<bool>,
+    pub drain_changes: Vec<bool>,
     /// When idle connections were last closed.
-    pub closed: HashMap<BackendId, f64>,
+    pub idle_closed_at_ms: HashMap<BackendId, f64>,
     /// Attempts withdrawn and still without an outcome.
     cancelled: Vec<(RequestId, usize)>,
     timers: Vec<(f64, TimerToken)>,
-    next: RequestId,
+    next_request: RequestId,
 }
 
 impl ProxyHarness {
-    pub fn new(s: Settings, seed: u64, list: Vec<EndpointInfo>) -> Self {
-        let balancer = Balancer::new(s.clone(), seed).expect("settings are sound");
-        let mut p = ProxyHarness {
+    pub fn new(settings: Settings, seed: u64, endpoints: Vec<EndpointInfo>) -> Self {
+        let balancer = Balancer::new(settings.clone(), seed).expect("settings are sound");
+        let mut harness = ProxyHarness {
             balancer,
-            s,
-            now: 1000.0,
+            settings,
+            now_ms: 1000.0,
             requests: BTreeMap::new(),
-            listed: HashMap::new(),
-            polls: Vec::new(),
+            known_endpoints: HashMap::new(),
+            polled_at_ms: Vec::new(),
             suspended: BTreeSet::new(),
-            drains: Vec::new(),
-            closed: HashMap::new(),
+            drain_changes: Vec::new(),
+            idle_closed_at_ms: HashMap::new(),
             cancelled: Vec::new(),
             timers: Vec::new(),
-            next: 1,
+            next_request: 1,
         };
-        p.list(EndpointListKind::Cached, list);
-        p
+        harness.update_endpoints(EndpointListKind::Cached, endpoints);
+        harness
     }
 
-    pub fn list(&mut self, kind: EndpointListKind, endpoints: Vec<EndpointInfo>) {
+    pub fn update_endpoints(&mut self, kind: EndpointListKind, endpoints: Vec<EndpointInfo>) {
         if kind != EndpointListKind::Delta && kind != EndpointListKind::Failed {
-            self.listed.values_mut().for_each(|e| e.phase = Phase::Gone);
+            self.known_endpoints.values_mut().for_each(|e| e.phase = Phase::Gone);
         }
-        for e in &endpoints {
-            self.listed.insert(e.backend, e.clone());
+        for endpoint in &endpoints {
+            self.known_endpoints.insert(endpoint.backend, endpoint.clone());
         }
         let draining: Vec<_> = endpoints.iter().filter(|e| e.phase == Phase::Draining).cloned().collect();
         self.handle(Event::EndpointList { kind, endpoints });
-        draining.iter().for_each(|e| self.check_release(e.backend));
+        draining.iter().for_each(|e| self.assert_idle_connections_closed(e.backend));
     }
 
     /// Connections to a draining backend are closed at the notice and after each outcome there.
-    fn check_release(&self, backend: BackendId) {
-        if self.s.guarantees.idle_release_ms > 0.0 && self.listed[&backend].phase == Phase::Draining {
-            assert_eq!(self.closed.get(&backend), Some(&self.now), "connections to {backend} are kept open");
+    fn assert_idle_connections_closed(&self, backend: BackendId) {
+        if self.settings.guarantees.idle_release_ms > 0.0
+            && self.known_endpoints[&backend].phase == Phase::Draining
+        {
+            assert_eq!(
+                self.idle_closed_at_ms.get(&backend),
+                Some(&self.now_ms),
+                "connections to {backend} are kept open"
+            );
         }
     }
 
     /// Nothing is sent for a key while an earlier request is open, has an attempt out or left a doubt.
-    fn check_order(&self, request: RequestId) {
-        let a = &self.requests[&request];
-        let ordered = |a: &RequestRecord| a.taken.0.is_ordered_by_key;
-        if a.key == 0 || !ordered(a) {
+    fn assert_ordering_key_is_free(&self, request: RequestId) {
+        let record = &self.requests[&request];
+        let is_ordered = |record: &RequestRecord| record.admitted_with.0.is_ordered_by_key;
+        if record.key == 0 || !is_ordered(record) {
             return;
         }
-        for (id, earlier) in self.requests.range(..request).filter(|(_, e)| e.key == a.key && ordered(e)) {
+        for (id, earlier) in
+            self.requests.range(..request).filter(|(_, e)| e.key == record.key && is_ordered(e))
+        {
             assert!(earlier.ended.is_some(), "{request} sent before {id} is over");
-            for s in &earlier.sends {
-                let rest = match s.outcome.expect("every attempt has its outcome") {
+            for s in &earlier.attempts {
+                let quarantine_ms = match s.outcome.expect("every attempt has its outcome") {
                     Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
-                        self.s.guarantees.key_quarantine_ms
+                        self.settings.guarantees.key_quarantine_ms
                     }
                     _ => 0.0,
                 };
-                assert!(self.now >= s.over + rest, "{request} sent while {id} may still run");
+                assert!(
+                    self.now_ms >= s.finished_at_ms + quarantine_ms,
+                    "{request} sent while {id} may still run"
+                );
             }
         }
     }
@@ -148,27 +159,27 @@
     /// Delivers an event and checks each action against the four rules.
     pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        self.balancer.handle(self.now, event, &mut actions);
-        self.carry_out(actions);
+        self.balancer.handle(self.now_ms, event, &mut actions);
+        self.apply_actions(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { request, backend, expires_at_ms } => {
-                    self.sent(request, backend, expires_at_ms)
+                    self.record_attempt(request, backend, expires_at_ms)
                 }
-                Action::Reject { request, .. } => self.refused(request),
-                Action::Fail { request, .. } => self.close(request, "failed"),
+                Action::Reject { request, .. } => self.record_rejection(request),
+                Action::Fail { request, .. } => self.record_end(request, "failed"),
                 Action::SetTimer { delay_ms, token } => {
                     assert!(delay_ms.is_finite() && delay_ms > 0.0, "timers lie ahead");
-                    self.timers.push((self.now + delay_ms, token));
+                    self.timers.push((self.now_ms + delay_ms, token));
                 }
                 Action::CloseIdleConnections { backend } => {
-                    self.closed.insert(backend, self.now);
+                    self.idle_closed_at_ms.insert(backend, self.now_ms);
                 }
                 Action::PollEndpoints => {
-                    self.polls.push(self.now);
+                    self.polled_at_ms.push(self.now_ms);
                 }
                 Action::SetSuspended { backend, is_suspended } => {
                     let changed = if is_suspended {
@@ -178,12 +189,12 @@
                     };
                     assert!(changed, "carried out twice");
                 }
-                Action::SetDraining { is_draining } => self.drains.push(is_draining),
+                Action::SetDraining { is_draining } => self.drain_changes.push(is_draining),
                 Action::Cancel { request, attempt } => {
                     self.cancelled.push((request, usize::from(attempt)));
-                    assert!(self.s.capabilities.can_cancel, "cancelled where that is not allowed");
+                    assert!(self.settings.capabilities.can_cancel, "cancelled where that is not allowed");
                     assert!(
-                        self.requests[&request].sends.len() > usize::from(attempt),
+                        self.requests[&request].attempts.len() > usize::from(attempt),
                         "cancelled what was never sent"
                     );
                 }
@@ -191,69 +202,88 @@
         }
     }
 
-    fn sent(&mut self, request: RequestId, backend: BackendId, expires_at_ms: f64) {
-        self.check_order(request);
-        let e = self.listed.get(&backend).expect("sent to a backend that no list named");
-        assert_eq!(e.phase, Phase::Ready, "sent to a draining or gone backend");
+    fn record_attempt(&mut self, request: RequestId, backend: BackendId, expires_at_ms: f64) {
+        self.assert_ordering_key_is_free(request);
+        let endpoint = self.known_endpoints.get(&backend).expect("sent to a backend that no list named");
+        assert_eq!(endpoint.phase, Phase::Ready, "sent to a draining or gone backend");
         assert!(!self.suspended.contains(&backend), "sent to a suspended backend");
-        let (zone, cell) = (e.zone, e.cell);
-        let a = self.requests.get_mut(&request).expect("sent a request that was never asked");
-        assert!(a.ended.is_none(), "sent after its end");
-        assert!(expires_at_ms <= a.deadline_ms);
+        let (zone, cell) = (endpoint.zone, endpoint.cell);
+        let record = self.requests.get_mut(&request).expect("sent a request that was never asked");
+        assert!(record.ended.is_none(), "sent after its end");
+        assert!(expires_at_ms <= record.deadline_ms);
         assert!(
-            a.sends.len() < a.taken.1.min(self.s.capabilities.max_attempts) as usize,
+            record.attempts.len()
+                < record.admitted_with.1.min(self.settings.capabilities.max_attempts) as usize,
             "too many attempts"
         );
-        let out = a.sends.iter().filter(|s| s.outcome.is_none()).count();
-        assert_eq!(out, 0, "two attempts out at once");
-        if let Some(ran) = a.sends.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
-            let group = self.listed.get(&ran.backend).map(|e| (e.zone, e.cell));
-            match a.taken.0.idempotency {
+        let in_flight = record.attempts.iter().filter(|s| s.outcome.is_none()).count();
+        assert_eq!(in_flight, 0, "two attempts out at once");
+        if let Some(ran) = record.attempts.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
+            let first_location = self.known_endpoints.get(&ran.backend).map(|e| (e.zone, e.cell));
+            match record.admitted_with.0.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NonIdempotent => panic!("a fragile request that may have run was sent again"),
-                Idempotency::Deduplicated { scope: g, window_ms: window } => {
-                    assert!(self.now < ran.at + window, "repeated after the window");
-                    let (z, c) = group.expect("listed");
-                    assert!(g != DeduplicationScope::Zone || z == zone, "repeated in another zone");
-                    assert!(g != DeduplicationScope::Cell || c == cell, "repeated in another cell");
+                Idempotency::Deduplicated { scope, window_ms } => {
+                    assert!(self.now_ms < ran.sent_at_ms + window_ms, "repeated after the window");
+                    let (first_zone, first_cell) = first_location.expect("listed");
+                    assert!(
+                        scope != DeduplicationScope::Zone || first_zone == zone,
+                        "repeated in another zone"
+                    );
+                    assert!(
+                        scope != DeduplicationScope::Cell || first_cell == cell,
+                        "repeated in another cell"
+                    );
                 }
             }
         }
-        a.sends.push(Sent { backend, at: self.now, expires_at_ms, outcome: None, over: 0.0 });
+        record.attempts.push(SentAttempt {
+            backend,
+            sent_at_ms: self.now_ms,
+            expires_at_ms,
+            outcome: None,
+            finished_at_ms: 0.0,
+        });
     }
 
-    fn refused(&mut self, request: RequestId) {
-        let a = &self.requests[&request];
-        let idempotency = a.taken.0.idempotency;
-        let unrun = a.sends.iter().all(|s| s.outcome.is_some_and(Outcome::never_ran));
-        let all = matches!(
+    fn record_rejection(&mut self, request: RequestId) {
+        let record = &self.requests[&request];
+        let idempotency = record.admitted_with.0.idempotency;
+        let never_ran = record.attempts.iter().all(|s| s.outcome.is_some_and(Outcome::never_ran));
+        let is_repeatable_anywhere = matches!(
             idempotency,
             Idempotency::Idempotent
                 | Idempotency::Deduplicated { scope: DeduplicationScope::AllBackends, .. }
         );
-        assert!(unrun || all, "refused what may have run");
-        self.close(request, "refused");
+        assert!(never_ran || is_repeatable_anywhere, "refused what may have run");
+        self.record_end(request, "rejected");
     }
 
-    pub fn close(&mut self, request: RequestId, how: &'static str) {
-        let a = self.requests.get_mut(&request).expect("ended a request that was never asked");
-        assert!(a.ended.is_none(), "answered twice");
+    fn record_end(&mut self, request: RequestId, end: &'static str) {
+        let record = self.requests.get_mut(&request).expect("ended a request that was never asked");
+        assert!(record.ended.is_none(), "answered twice");
         assert!(
-            self.now <= a.deadline_ms + ANSWER_MARGIN_MS,
+            self.now_ms <= record.deadline_ms + FINAL_ANSWER_TOLERANCE_MS,
             "answered {} ms late",
-            self.now - a.deadline_ms
+            self.now_ms - record.deadline_ms
         );
-        a.ended = Some((self.now, how));
+        record.ended = Some((self.now_ms, end));
     }
 
     /// A new request; its id.
-    pub fn send_request(&mut self, class: usize, tenant: u16, left: f64) -> RequestId {
-        self.send_keyed_request(0, class, tenant, left)
+    pub fn submit_request(&mut self, class: usize, tenant: u16, timeout_ms: f64) -> RequestId {
+        self.submit_keyed_request(0, class, tenant, timeout_ms)
     }
 
     /// A new request about a key; its id.
-    pub fn send_keyed_request(&mut self, key: u64, class: usize, tenant: u16, left: f64) -> RequestId {
-        let (request, deadline_ms) = self.take(key, class, left);
+    pub fn submit_keyed_request(
+        &mut self,
+        key: u64,
+        class: usize,
+        tenant: u16,
+        timeout_ms: f64,
+    ) -> RequestId {
+        let (request, deadline_ms) = self.record_arrival(key, class, timeout_ms);
         self.handle(Event::RequestArrived(RequestArrival {
             request,
             key,
@@ -265,14 +295,16 @@
         request
     }
 
-    fn take(&mut self, key: u64, class: usize, left: f64) -> (RequestId, f64) {
-        let (request, deadline_ms) = (self.next, self.now + left);
-        let taken =
-            (self.s.classes.get(class).cloned().unwrap_or_default(), self.s.capabilities.max_attempts);
-        self.next += 1;
+    fn record_arrival(&mut self, key: u64, class: usize, timeout_ms: f64) -> (RequestId, f64) {
+        let (request, deadline_ms) = (self.next_request, self.now_ms + timeout_ms);
+        let admitted_with = (
+            self.settings.classes.get(class).cloned().unwrap_or_default(),
+            self.settings.capabilities.max_attempts,
+        );
+        self.next_request += 1;
         self.requests.insert(
             request,
-            RequestRecord { key, class, taken, deadline_ms, sends: Vec::new(), ended: None },
+            RequestRecord { key, class, admitted_with, deadline_ms, attempts: Vec::new(), ended: None },
         );
         (request, deadline_ms)
     }
@@ -281,26 +313,26 @@
     pub fn configure(
         &mut self,
         settings: Settings,
-        classes: Vec<Option<u16>>,
-        tenants: Vec<Option<u16>>,
+        continued_classes: Vec<Option<u16>>,
+        continued_tenants: Vec<Option<u16>>,
     ) -> Result<u64, SettingsError> {
         let mut actions = Vec::new();
-        let next = SettingsUpdate {
+        let update = SettingsUpdate {
             version: 0,
             settings: settings.clone(),
-            continued_classes: classes,
-            continued_tenants: tenants,
+            continued_classes,
+            continued_tenants,
             content_hash: 0,
         };
-        let number = self.balancer.configure(self.now, next, &mut actions)?;
-        self.s = settings;
-        self.carry_out(actions);
-        Ok(number)
+        let version = self.balancer.configure(self.now_ms, update, &mut actions)?;
+        self.settings = settings;
+        self.apply_actions(actions);
+        Ok(version)
     }
 
     /// A new request whose body is still arriving; its id.
-    pub fn send_streamed_request(&mut self, class: usize, left: f64) -> RequestId {
-        let (request, deadline_ms) = self.take(0, class, left);
+    pub fn submit_streamed_request(&mut self, class: usize, timeout_ms: f64) -> RequestId {
+        let (request, deadline_ms) = self.record_arrival(0, class, timeout_ms);
         let arrival = RequestArrival {
             request,
             key: 0,
@@ -330,13 +362,13 @@
         outcome: Outcome,
         is_body_consumed: bool,
     ) {
-        let a = self.requests.get_mut(&request).expect("asked");
-        let s = &mut a.sends[attempt];
+        let record = self.requests.get_mut(&request).expect("asked");
+        let s = &mut record.attempts[attempt];
         assert!(s.outcome.is_none());
-        (s.outcome, s.over) = (Some(outcome), self.now);
-        let (backend, latency_ms) = (s.backend, self.now - s.at);
-        if outcome == Outcome::Ok && a.ended.is_none() {
-            self.close(request, "served");
+        (s.outcome, s.finished_at_ms) = (Some(outcome), self.now_ms);
+        let (backend, latency_ms) = (s.backend, self.now_ms - s.sent_at_ms);
+        if outcome == Outcome::Ok && record.ended.is_none() {
+            self.record_end(request, "served");
         }
         let is_request_closed = self.requests[&request].ended.is_some();
         let attempt = attempt as AttemptNumber;
@@ -349,35 +381,36 @@
             is_request_closed,
             is_body_consumed,
         }));
-        self.check_release(backend);
+        self.assert_idle_connections_closed(backend);
     }
 
     pub fn disconnect(&mut self, request: RequestId) {
-        self.close(request, "hung up");
+        self.record_end(request, "disconnected");
         self.handle(Event::ClientDisconnected { request });
     }
 
     /// Attempts that are out, oldest request first.
-    pub fn out(&self) -> Vec<(RequestId, usize, Sent)> {
-        let sends = |(&id, a): (&RequestId, &RequestRecord)| {
-            let of = a.sends.iter().enumerate().filter(|(_, s)| s.outcome.is_none());
+    pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize, SentAttempt)> {
+        let sends = |(&id, record): (&RequestId, &RequestRecord)| {
+            let of = record.attempts.iter().enumerate().filter(|(_, s)| s.outcome.is_none());
             of.map(|(n, s)| (id, n, s.clone())).collect::<Vec<_>>()
         };
         self.requests.iter().flat_map(sends).collect()
     }
 
     /// Moves the clock, firing timers and attempts' time-outs on the way.
-    pub fn advance(&mut self, to: f64) {
-        while self.now < to {
-            self.now = (self.now + self.s.tick_ms).min(to);
-            let now = self.now;
+    pub fn advance_to(&mut self, end_ms: f64) {
+        while self.now_ms < end_ms {
+            self.now_ms = (self.now_ms + self.settings.tick_ms).min(end_ms);
+            let now = self.now_ms;
             let due: Vec<TimerToken> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
             self.timers.retain(|t| t.0 > now);
             due.into_iter().for_each(|token| self.handle(Event::TimerFired { token }));
-            let late: Vec<_> = self.out().into_iter().filter(|(_, _, s)| s.expires_at_ms <= now).collect();
+            let late: Vec<_> =
+                self.attempts_in_flight().into_iter().filter(|(_, _, s)| s.expires_at_ms <= now).collect();
             late.into_iter().for_each(|(id, n, _)| self.finish_attempt(id, n, Outcome::Timeout));
             for (id, n) in std::mem::take(&mut self.cancelled) {
-                if self.requests.get(&id).is_some_and(|a| a.sends[n].outcome.is_none()) {
+                if self.requests.get(&id).is_some_and(|record| record.attempts[n].outcome.is_none()) {
                     self.finish_attempt(id, n, Outcome::Cancelled);
                 }
             }
@@ -385,26 +418,38 @@
     }
 
     /// Drops the record of what is over, so that long tests stay quick.
-    pub fn forget(&mut self) {
-        self.requests.retain(|_, a| a.ended.is_none() || a.sends.iter().any(|s| s.outcome.is_none()));
+    pub fn forget_finished_requests(&mut self) {
+        self.requests.retain(|_, record| {
+            record.ended.is_none() || record.attempts.iter().any(|s| s.outcome.is_none())
+        });
     }
 
-    /// Serves steadily: `per_tick` requests of a class each tick, every answer after `wait`; how many were refused.
-    pub fn serve(&mut self, ms: f64, per_tick: usize, class: usize, wait: f64) -> usize {
-        let (end, mut refused) = (self.now + ms, 0);
-        while self.now < end {
-            for _ in 0..per_tick {
-                self.send_request(class, 0, 1e5);
+    /// Serves steadily: `requests_per_tick` requests of a class each tick, every answer after `latency_ms`; how many were refused.
+    pub fn serve_steadily(
+        &mut self,
+        duration_ms: f64,
+        requests_per_tick: usize,
+        class: usize,
+        latency_ms: f64,
+    ) -> usize {
+        let (end_ms, mut rejected) = (self.now_ms + duration_ms, 0);
+        while self.now_ms < end_ms {
+            for _ in 0..requests_per_tick {
+                self.submit_request(class, 0, 1e5);
             }
-            self.advance(self.now + self.s.tick_ms);
-            for (id, n, s) in self.out() {
-                if self.now - s.at >= wait {
+            self.advance_to(self.now_ms + self.settings.tick_ms);
+            for (id, n, s) in self.attempts_in_flight() {
+                if self.now_ms - s.sent_at_ms >= latency_ms {
                     self.finish_attempt(id, n, Outcome::Ok);
                 }
             }
-            refused += self.requests.values().filter(|a| a.ended.is_some_and(|e| e.1 == "refused")).count();
-            self.forget();
+            rejected += self
+                .requests
+                .values()
+                .filter(|record| record.ended.is_some_and(|e| e.1 == "rejected"))
+                .count();
+            self.forget_finished_requests();
         }
-        refused
+        rejected
     }
 }
