--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,130 +1,133 @@
-//! Why the adapter ends early.
+//! Errors that end the adapter.
 
 use foldhitch_balancer::api::SettingsError;
 use foldhitch_balancer::settings_format::SettingsFormatError;
 use std::io;
 
-/// Why the adapter ends early. What is wrong with the input is named by its place in it, in bytes.
+/// An error that ends the adapter.
+///
+/// Errors in the input carry their position: a byte offset from the start of the frame, which includes its
+/// header.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// The input can't be read.
-    #[error("frame: {0}")]
+    /// Reading the input failed.
+    #[error("frame: read failed: {0}")]
     Input(#[source] io::Error),
-    /// The output can't be written.
-    #[error("reply: {0}")]
+    /// Writing the output failed.
+    #[error("reply: write failed: {0}")]
     Output(#[source] io::Error),
-    /// The input ends within a header.
-    #[error("frame: truncated in its header, {received} of {expected} bytes")]
+    /// The input ends within a frame header.
+    #[error("frame: truncated header: {received} of {expected} bytes")]
     TruncatedHeader {
-        /// Bytes that came.
+        /// Number of bytes that were read.
         received: usize,
-        /// Bytes of a header.
+        /// Length of a header in bytes.
         expected: usize,
     },
-    /// The input ends within a frame.
-    #[error("frame: truncated, {received} of {expected} bytes after the header")]
+    /// The input ends within the records of a frame.
+    #[error("frame: truncated records: {received} of {expected} bytes after the header")]
     TruncatedFrame {
-        /// Bytes that came.
+        /// Number of bytes that were read.
         received: usize,
-        /// Bytes that the header announces.
+        /// Number of bytes that the header announces.
         expected: usize,
     },
-    /// The header announces less than a clock.
-    #[error("frame: byte 4: length {length} is shorter than the clock")]
+    /// The header announces a length that is shorter than the clock field.
+    #[error("frame: byte 4: length {length} is shorter than the clock field")]
     FrameTooShort {
-        /// Bytes that it announces.
+        /// The announced length in bytes.
         length: usize,
     },
-    /// A field of a header is wrong.
+    /// A header field is invalid.
     #[error(transparent)]
     Header(FieldError),
-    /// A record is malformed.
+    /// A record cannot be decoded.
     #[error("record {record}: {source}")]
     Malformed {
-        /// Its number in the frame.
+        /// Index of the record in its frame, from 0.
         record: u32,
-        /// What is wrong with it.
+        /// The field that is invalid.
         source: FieldError,
     },
-    /// A record can't be carried out.
+    /// A record is well-formed but cannot be executed.
     #[error("record {record}: byte {offset}: {source}")]
     Rejected {
-        /// Its number in the frame.
+        /// Index of the record in its frame, from 0.
         record: u32,
-        /// Where it begins.
+        /// Offset of the first byte of the record.
         offset: usize,
-        /// Why it can't be carried out.
+        /// Why the record cannot be executed.
         source: RecordError,
     },
-    /// Bytes follow the last record.
+    /// The frame is longer than its records.
     #[error("byte {offset}: {count} bytes left over after the last record")]
     TrailingBytes {
-        /// Where they begin.
+        /// Offset of the first extra byte.
         offset: usize,
-        /// How many there are.
+        /// Number of extra bytes.
         count: usize,
     },
 }
 
-/// What is wrong with a field.
+/// An invalid field.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
-    /// The bytes end within it.
-    #[error("byte {offset}: truncated in {field}")]
+    /// The bytes end within the field.
+    #[error("byte {offset}: {field} is truncated")]
     Truncated {
-        /// Where it begins.
+        /// Offset of the first byte of the field.
         offset: usize,
-        /// Its name.
+        /// Name of the field on the wire.
         field: &'static str,
     },
-    /// It holds no number.
-    #[error("byte {offset}: {field} is not finite")]
+    /// The value is NaN or infinite.
+    #[error("byte {offset}: {field} is not a finite number")]
     NotFinite {
-        /// Where it begins.
+        /// Offset of the first byte of the field.
         offset: usize,
-        /// Its name.
+        /// Name of the field on the wire.
         field: &'static str,
     },
-    /// It holds a number that means nothing.
+    /// The value is not one of the defined codes.
     #[error("byte {offset}: {field} {value} is unknown")]
     UnknownValue {
-        /// Where it begins.
+        /// Offset of the first byte of the field.
         offset: usize,
-        /// Its name.
+        /// Name of the field on the wire.
         field: &'static str,
-        /// The number.
+        /// The invalid value.
         value: u32,
     },
-    /// It holds a number that is too high.
+    /// The value is above the maximum.
     #[error("byte {offset}: {field} {value} is out of range")]
     OutOfRange {
-        /// Where it begins.
+        /// Offset of the first byte of the field.
         offset: usize,
-        /// Its name.
+        /// Name of the field on the wire.
         field: &'static str,
-        /// The number.
+        /// The invalid value.
         value: u32,
     },
-    /// It names a list that was never defined.
+    /// The field refers to a page that has not been defined.
     #[error("byte {offset}: page {page} was never defined")]
     UndefinedPage {
-        /// Where it begins.
+        /// Offset of the first byte of the field.
         offset: usize,
-        /// Its number.
+        /// The page number.
         page: u32,
     },
 }
 
-/// Why a record can't be carried out.
+/// A reason why a record cannot be executed.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// It is for an instance that does not run.
+    /// The record addresses an instance that is not running.
     #[error("instance {0} is unknown")]
     UnknownInstance(u16),
-    /// An instance's settings can't be read.
+    /// The settings of an instance cannot be parsed.
     #[error(transparent)]
     SettingsFormat(#[from] SettingsFormatError),
-    /// An instance can't work by its settings.
+    /// The settings of an instance are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The balancer instances that the simulator has started.
+//! Runs the balancer instances that the simulator has launched.
 
 use crate::error::RecordError;
 use crate::wire::{Record, Reply};
@@ -8,15 +8,18 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The running instances, by their numbers.
+/// The running instances, keyed by instance number.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<u16, Balancer>,
+    /// Buffer for the actions of one event, kept to avoid an allocation for each event.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Carries a record out at a time, and adds to the reply what is decided.
+    /// Executes a record at `now_ms` and appends the resulting actions to `reply`.
+    ///
+    /// A panic in the balancer is reported in the reply as a fatal action; the adapter keeps running.
     pub fn execute(&mut self, now_ms: f64, record: Record, reply: &mut Reply) -> Result<(), RecordError> {
         match record {
             Record::Page => Ok(()),
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! foldhitch-simulator-adapter: hosts balancer instances on the simulator's wire, over standard input and output.
+//! foldhitch-simulator-adapter: runs balancer instances for the simulator, which sends frames on standard
+//! input and reads replies from standard output.
 
 mod error;
 mod host;
@@ -9,7 +10,7 @@
 use std::io::{self, BufReader, Write};
 use std::process::ExitCode;
 
-/// How much input is read at once, in bytes.
+/// Capacity of the input buffer in bytes.
 const INPUT_BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
@@ -22,7 +23,7 @@
     }
 }
 
-/// Answers each frame of the input with a reply, up to the input's end.
+/// Answers each input frame with one reply until the end of the input.
 fn serve() -> Result<(), AdapterError> {
     let mut input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
--- a/crates/simulator-adapter/src/wire/decoder.rs
+++ b/crates/simulator-adapter/src/wire/decoder.rs
@@ -1,4 +1,4 @@
-//! Records of a frame.
+//! Decodes the records of a frame.
 
 use super::frame::{Frame, HEADER_BYTES};
 use super::reader::Reader;
@@ -7,10 +7,10 @@
     AttemptResult, EndpointInfo, EndpointListKind, Event, RequestArrival, TimerToken,
 };
 
-/// How many numbered lists there may be.
+/// Number of pages; page numbers are below this value.
 const MAX_PAGES: usize = 16;
 
-/// Codes of records.
+/// Record codes.
 mod code {
     pub(super) const LAUNCH: u16 = 1;
     pub(super) const DISCOVERY: u16 = 2;
@@ -25,46 +25,46 @@
     pub(super) const PAGE: u16 = 11;
 }
 
-/// One record.
+/// A decoded record.
 pub enum Record {
-    /// An instance starts.
+    /// Starts an instance.
     Launch {
         /// The instance.
         instance: u16,
-        /// Seed for its random numbers.
+        /// Seed of its random number generator.
         seed: u64,
         /// Its settings, as JSON text.
         settings: Vec<u8>,
     },
-    /// An instance was killed.
+    /// Stops an instance.
     Shutdown {
         /// The instance.
         instance: u16,
     },
-    /// A numbered list, kept by the decoder.
+    /// Defines a page, an endpoint list with a number. The decoder keeps it; there is nothing to execute.
     Page,
-    /// Something that no decision needs; read only to check its form.
+    /// A record that the balancer does not use. It is decoded only to check its format.
     Ignored {
         /// The instance.
         instance: u16,
     },
-    /// Something for an instance.
+    /// Passes an event to an instance.
     Event {
         /// The instance.
         instance: u16,
-        /// What it is told.
+        /// The event.
         event: Event,
     },
 }
 
-/// Decodes records; holds the numbered lists, which belong to the process and outlive a frame.
+/// Decodes records and holds the pages, which all instances share and which persist across frames.
 #[derive(Default)]
 pub struct Decoder {
     pages: [Option<Vec<EndpointInfo>>; MAX_PAGES],
 }
 
 impl Decoder {
-    /// Decodes a frame record by record and hands each to `execute`, in order.
+    /// Decodes the records of a frame in order and passes each to `execute` before the next is decoded.
     pub fn decode(
         &mut self,
         frame: &Frame,
--- a/crates/simulator-adapter/src/wire/frame.rs
+++ b/crates/simulator-adapter/src/wire/frame.rs
@@ -1,25 +1,26 @@
-//! Frames: a header with the number of records and their length, a clock, and the records.
+//! Reads frames. A frame has a record count, the length of the rest of the frame, a clock value, and the
+//! records.
 
 use super::reader::Reader;
 use crate::error::AdapterError;
 use std::io::Read;
 
-/// Length of a header with its clock, in bytes.
+/// Length of a frame header in bytes: record count, length and clock.
 pub(super) const HEADER_BYTES: usize = 16;
-/// Length of the clock in bytes, which counts as a part of the frame.
+/// Length of the clock field in bytes. The length field of the header counts it.
 const CLOCK_BYTES: usize = 8;
 
-/// One batch of records as it came.
+/// A frame whose records are not decoded yet.
 pub struct Frame {
-    /// The clock in milliseconds.
+    /// The simulated clock in milliseconds.
     pub now_ms: f64,
-    /// How many records there are.
+    /// Number of records.
     pub record_count: u32,
-    /// Their bytes.
+    /// The encoded records.
     pub body: Vec<u8>,
 }
 
-/// Reads a frame; `None` at a clean end of input.
+/// Reads a frame. Returns `None` if the input ends between two frames.
 pub fn read_frame(input: &mut impl Read) -> Result<Option<Frame>, AdapterError> {
     let header = read_up_to(input, HEADER_BYTES)?;
     if header.is_empty() {
@@ -40,6 +41,7 @@
     Ok(Some(Frame { now_ms, record_count, body }))
 }
 
+/// Reads `count` bytes, or fewer if the input ends before.
 fn read_up_to(input: &mut impl Read, count: usize) -> Result<Vec<u8>, AdapterError> {
     let mut bytes = Vec::new();
     input.by_ref().take(count as u64).read_to_end(&mut bytes).map_err(AdapterError::Input)?;
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The simulator's binary wire: frames in, replies out. Translates, never decides.
+//! The simulator's binary protocol: decodes frames and encodes replies. It makes no load-balancing decisions.
 
 mod decoder;
 mod frame;
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -1,13 +1,13 @@
-//! Reads fields, little-endian, and names the place of what is wrong.
+//! Reads little-endian fields and reports the position of an invalid one.
 
 use crate::error::FieldError;
 use foldhitch_balancer::api::{EndpointInfo, Outcome, Phase};
 
-/// Reads fields one after the other.
+/// Reads consecutive fields from a byte slice.
 pub(super) struct Reader<'a> {
     bytes: &'a [u8],
     position: usize,
-    /// Place of the first byte in the frame.
+    /// Offset of the first byte of `bytes` in the frame.
     base_offset: usize,
 }
 
@@ -16,12 +16,12 @@
         Reader { bytes, position: 0, base_offset }
     }
 
-    /// Place of the next byte in the frame.
+    /// Returns the offset of the next byte in the frame.
     pub(super) fn offset(&self) -> usize {
         self.base_offset + self.position
     }
 
-    /// How many bytes are left.
+    /// Returns the number of bytes that have not been read.
     pub(super) fn remaining(&self) -> usize {
         self.bytes.len() - self.position
     }
@@ -66,7 +66,7 @@
         if value.is_finite() { Ok(value) } else { Err(FieldError::NotFinite { offset, field }) }
     }
 
-    /// Skips a load report.
+    /// Reads and discards a load report, which the balancer does not use.
     pub(super) fn skip_load_report(&mut self) -> Result<(), FieldError> {
         let value_count = self.u8("healthInfo")?;
         for _ in 0..value_count {
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,11 +1,11 @@
-//! Replies: the actions of all instances on a frame.
+//! Encodes replies. A reply holds the actions of all instances for one frame.
 
 use foldhitch_balancer::api::Action;
 
-/// Length of a reply's length, in bytes.
+/// Length of the length prefix of a reply in bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Codes of actions.
+/// Action codes.
 mod code {
     pub(super) const SEND: u16 = 1;
     pub(super) const REJECT: u16 = 2;
@@ -17,10 +17,10 @@
     pub(super) const WATCH: u16 = 11;
 }
 
-/// The wire can also say that the list is no longer wanted, which the balancer never does.
+/// Requests the endpoint list. The protocol can also cancel such a request, which the balancer never does.
 const WATCH_ENABLED: u8 = 1;
 
-/// A reply under construction; its length goes in front when it is finished.
+/// A reply under construction. [`into_bytes`](Self::into_bytes) fills in its length prefix.
 pub struct Reply {
     bytes: Vec<u8>,
 }
@@ -32,16 +32,16 @@
 }
 
 impl Reply {
-    /// Reports that an instance's decision code failed.
+    /// Appends a report that the balancer of an instance panicked.
     pub fn push_fatal(&mut self, instance: u16, text: &str) {
         self.push_record_header(code::FATAL, instance);
-        // Counted bytes, cut to what the count can say.
+        // The text is prefixed with its length as a u16 and cut to the maximum of that length.
         let length = text.len().min(usize::from(u16::MAX));
         self.bytes.extend((length as u16).to_le_bytes());
         self.bytes.extend(&text.as_bytes()[..length]);
     }
 
-    /// Adds an instance's action.
+    /// Appends an action of an instance.
     pub fn push_action(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Send { request, backend, expires_at_ms } => {
@@ -77,12 +77,12 @@
                 self.push_record_header(code::WATCH, instance);
                 self.bytes.push(WATCH_ENABLED);
             }
-            // What answers an operator's call; none comes over this wire.
+            // These actions follow operator commands, which this protocol does not carry.
             Action::SetSuspended { .. } | Action::SetDraining { .. } => {}
         }
     }
 
-    /// The whole reply.
+    /// Returns the encoded reply with its length prefix.
     pub fn into_bytes(mut self) -> Vec<u8> {
         let length = (self.bytes.len() - LENGTH_PREFIX_BYTES) as u32;
         self.bytes[..LENGTH_PREFIX_BYTES].copy_from_slice(&length.to_le_bytes());
