--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,8 +1,9 @@
-//! The adapter through the built binary: what it answers, and what bad input gets.
+//! Runs the built adapter: its replies to valid frames and its errors for invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Runs the adapter on `input` until it exits.
 fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_foldhitch-simulator-adapter"))
         .stdin(Stdio::piped())
@@ -10,13 +11,15 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end before it has read everything; that is its answer.
+    // An adapter that rejects its input may exit before it has read all of it, so this write may fail.
     let _ = child.stdin.take().expect("piped").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
+/// The clock value of every frame.
 const NOW_MS: f64 = 8256.25;
 
+/// Encodes a frame.
 fn frame(records: &[Vec<u8>]) -> Vec<u8> {
     let body = records.concat();
     let mut f = (records.len() as u32).to_le_bytes().to_vec();
@@ -26,10 +29,12 @@
     f
 }
 
+/// Encodes the code and the instance, which begin all records but pages.
 fn record_header(code: u16, instance: u16) -> Vec<u8> {
     [code.to_le_bytes(), instance.to_le_bytes()].concat()
 }
 
+/// Appends encoded fields to a record.
 fn with_fields(mut record: Vec<u8>, fields: &[&[u8]]) -> Vec<u8> {
     fields.iter().for_each(|f| record.extend(*f));
     record
@@ -49,6 +54,7 @@
     })
 }
 
+/// Encodes a record that launches instance 3.
 fn launch(settings: &str) -> Vec<u8> {
     with_fields(
         record_header(1, 3),
@@ -56,6 +62,7 @@
     )
 }
 
+/// Encodes a page of ready endpoints.
 fn endpoint_page(page: u32, backends: &[u32]) -> Vec<u8> {
     let mut r = with_fields(
         11u16.to_le_bytes().to_vec(),
@@ -68,6 +75,7 @@
     r
 }
 
+/// Encodes an endpoint list event for instance 3 that refers to a page.
 fn endpoint_list(page: u32, kind: u8) -> Vec<u8> {
     with_fields(record_header(2, 3), &[&page.to_le_bytes(), &[kind], &1u64.to_le_bytes()])
 }
@@ -76,6 +84,7 @@
     request_with_key(xid, 0)
 }
 
+/// Encodes a request to instance 3 with an ordering key; 0 is none.
 fn request_with_key(xid: u64, key: u64) -> Vec<u8> {
     let deadline = NOW_MS + 2000.0;
     let (key, hint) = (key.to_le_bytes(), 0f64.to_le_bytes());
@@ -85,6 +94,7 @@
     )
 }
 
+/// Splits the output of the adapter into replies without their length prefix.
 fn split_replies(out: &[u8]) -> Vec<Vec<u8>> {
     let (mut at, mut all) = (0, Vec::new());
     while at < out.len() {
@@ -95,34 +105,38 @@
     all
 }
 
+/// Guards against an endpoint list that uses a wrong definition of its page: it uses the last one before it.
 #[test]
 fn list_uses_the_latest_definition_of_its_page() {
     let start = frame(&[launch(&settings_json().to_string()), endpoint_page(1, &[11]), endpoint_list(1, 3)]);
-    // The page is used again within a batch: the number means the newer list from there on.
+    // Page 1 is redefined within the frame: once before the endpoint list and once after it.
     let next = frame(&[endpoint_page(1, &[22]), endpoint_list(1, 0), endpoint_page(1, &[33]), request(99)]);
     let out = run_adapter(&[start, next].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     let replies = split_replies(&out.stdout);
-    assert_eq!(replies.len(), 2, "one reply to each batch");
+    assert_eq!(replies.len(), 2, "one reply to each frame");
     let mut sent = with_fields(record_header(1, 3), &[&99u64.to_le_bytes(), &22u32.to_le_bytes()]);
     sent.extend((NOW_MS + 2000.0).to_le_bytes());
     assert_eq!(replies[1], sent);
 }
 
-/// The rules' further settings and the request's key reach the module: order per key, closing on drains.
+/// Guards against settings or request fields that the adapter drops: the ordering key, which serializes
+/// requests, and the rule that idle connections to a draining backend are closed.
 #[test]
 fn ordering_key_and_draining_reach_the_balancer() {
     let start = frame(&[launch(&settings_json().to_string()), endpoint_page(1, &[11]), endpoint_list(1, 3)]);
     let two = frame(&[request_with_key(1, 77), request_with_key(2, 77)]);
     let mut drained = endpoint_page(2, &[11]);
-    drained[10] = 2; // the phase of its only entry
+    // Sets the phase of the only endpoint to draining.
+    drained[10] = 2;
     let out = run_adapter(&[start, two, frame(&[drained, endpoint_list(2, 1)])].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     let replies = split_replies(&out.stdout);
-    assert_eq!(replies[1].len(), 24, "one attempt and no more: {:?}", replies[1]);
+    assert_eq!(replies[1].len(), 24, "more than one attempt: {:?}", replies[1]);
     assert_eq!(replies[2], with_fields(record_header(7, 3), &[&11u32.to_le_bytes()]));
 }
 
+/// Guards against an error when the input ends where a frame could begin.
 #[test]
 fn end_of_input_between_frames_exits_with_zero() {
     let out = run_adapter(&[]);
@@ -132,13 +146,15 @@
     assert_eq!(out.stdout, [0, 0, 0, 0]);
 }
 
+/// Guards against invalid input that is accepted, or answered before it is rejected. Each error is one line with
+/// the position of the fault.
 #[test]
 fn invalid_input_prints_one_line_and_no_reply() {
     let good = frame(&[launch(&settings_json().to_string()), endpoint_page(1, &[11]), endpoint_list(1, 3)]);
     let launch_with = |change: &dyn Fn(&mut serde_json::Value)| {
-        let mut f = settings_json();
-        change(&mut f);
-        frame(&[launch(&f.to_string())])
+        let mut changed = settings_json();
+        change(&mut changed);
+        frame(&[launch(&changed.to_string())])
     };
     let mut long = frame(&[endpoint_page(1, &[11])]);
     long[4] += 4;
@@ -174,13 +190,14 @@
         let out = run_adapter(&input);
         let error = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(1), "{words:?}: {error}");
-        assert!(out.stdout.is_empty(), "{words:?}: a reply was begun");
+        assert!(out.stdout.is_empty(), "{words:?}: part of a reply was written");
         assert_eq!(error.lines().count(), 1, "{words:?}: {error}");
-        words.iter().for_each(|w| assert!(error.contains(w), "'{w}' is not named: {error}"));
+        words.iter().for_each(|w| assert!(error.contains(w), "'{w}' is missing: {error}"));
     }
 }
 
-/// Events that no decision needs are read whole and passed over, for instances that run.
+/// Guards against unused records that shift the reader or get a reply: they are read to their end and ignored.
+/// Their instance must be running.
 #[test]
 fn unused_events_are_read_and_ignored() {
     let first_byte = |i| {
