--- a/crates/balancer/tests/support/fleet.rs
+++ b/crates/balancer/tests/support/fleet.rs
@@ -1,65 +1,71 @@
-//! A fleet on virtual time: many instances of the balancer, the backends that they send to, one queue of events.
-//! The same plan and seed give the same run. Every send is checked against what its instance was told.
+//! Simulates a fleet in virtual time: balancer instances, the backends that they send to, and one event
+//! queue. The same scenario and seed give the same run. Every attempt is checked against the endpoint list of
+//! its instance.
 
 use foldhitch_balancer::Balancer;
 use foldhitch_balancer::api::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
 
-/// A connection rests so long before its backend closes it.
+/// How long a connection may be idle before its backend closes it.
 const BACKEND_IDLE_TIMEOUT_MS: f64 = 5000.0;
-/// Work of a new connection's handshake.
+/// Work of the handshake of a new connection, in mean requests.
 pub const HANDSHAKE_WORK: f64 = 0.1;
-/// Time on the way, there and back.
+/// Network round-trip time.
 const ROUND_TRIP_MS: f64 = 1.0;
 
-/// What of a class the fleet has to know beside the settings.
+/// The traffic of a class.
 #[derive(Clone)]
 pub struct ClassTraffic {
+    /// Share of the requests, relative to the other classes.
     pub share: f64,
-    /// Mean work of the class.
+    /// Mean work of a request, in mean requests over all classes.
     pub mean_work: f64,
 }
 
+/// The description of a run.
 #[derive(Clone)]
 pub struct Scenario {
     pub settings: Settings,
     pub traffic: Vec<ClassTraffic>,
     /// Cores of each backend.
     pub cores_per_backend: usize,
-    /// Time that a mean request takes a warm core; work is counted in means.
+    /// Time that a warm core takes for a request of work 1.
     pub mean_service_ms: f64,
-    /// What is asked, as a share of what all backends serve warm.
+    /// Offered load, as a share of the capacity of `warm_backends` warm backends.
     pub load: f64,
-    /// Traffic of an instance beside the others'; instances past the end of the list are like its last.
+    /// Traffic of each instance relative to the others; the last entry holds for all further instances.
     pub instance_weights: Vec<f64>,
-    /// Lists reach each instance up to so much later.
+    /// Longest time until an endpoint list reaches an instance.
     pub max_notification_delay_ms: f64,
-    /// Backends that are warm from the beginning; `load` is of these.
+    /// Number of backends at the start, which are warm.
     pub warm_backends: u32,
-    /// The time within which too much work makes a backend that is warming up fall.
+    /// Length of the window in which work beyond its budget overloads a backend in slow start.
     pub overload_window_ms: f64,
-    /// Every request is of its class's mean work; else their work is exponential.
+    /// Whether every request has the mean work of its class; otherwise its work is exponentially distributed.
     pub is_work_constant: bool,
+    /// Changes with the times at which they happen, in milliseconds.
     pub changes: Vec<(f64, Change)>,
     pub end_ms: f64,
 }
 
+/// A change to the fleet or its traffic.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// So many times the load, from now on.
+    /// Sets the offered load, on the scale of [`Scenario::load`].
     SetLoad(f64),
-    /// Instances are killed and come again with nothing but the list, spread over so many ms.
+    /// Kills all instances. They restart, without history but with the endpoint list, within this many
+    /// milliseconds.
     RestartInstances(f64),
-    /// The backend's process is replaced by a cold one of the same name.
+    /// Restarts the process of a backend, which then warms up again.
     RestartBackend(BackendId),
-    /// The first is notified to drain, ends after the grace, and the second is new.
+    /// Drains the first backend, stops it 2 s later, and starts the second one.
     ReplaceBackend(BackendId, BackendId),
-    /// A new backend.
+    /// Starts a new backend.
     AddBackend(BackendId),
-    /// So many processes act as each instance (the traffic is what this one gets).
+    /// Sets how many processes act as each instance. The simulated traffic is that of one process.
     SetProcessCount(u32),
-    /// Instances whose number has this remainder by 5 ask so many times as much.
+    /// Multiplies the traffic of the instances whose number modulo 5 is the first value by the second.
     ScaleTraffic(u32, f64),
 }
 
@@ -114,13 +120,16 @@
     }
 }
 
+/// A balancer instance; `balancer` is `None` while it restarts.
 pub struct Instance {
     pub balancer: Option<Balancer>,
+    /// Counts restarts; events for earlier incarnations are dropped.
     pub incarnation: u32,
-    /// The newest list that it was told.
+    /// Index in [`Fleet::lists`] of the newest list that was delivered.
     pub list_version: usize,
-    /// When it was told that a backend takes nothing more.
+    /// When the endpoint list first reported each backend as draining or removed.
     unavailable_since: BTreeMap<BackendId, f64>,
+    /// When each idle connection to a backend became idle, oldest first.
     idle_since: HashMap<BackendId, VecDeque<f64>>,
     open_requests: HashMap<RequestId, RequestRecord>,
     next_request: RequestId,
@@ -129,37 +138,42 @@
 struct RequestRecord {
     class: usize,
     deadline_ms: f64,
+    /// Backend and send time of each attempt.
     attempts: Vec<(BackendId, f64)>,
 }
 
+/// The work of an attempt that a backend received.
 #[derive(Clone, Copy)]
 pub struct ReceivedWork {
     pub received_at_ms: f64,
-    /// In requests of mean work.
+    /// Work in mean requests, with the handshake.
     pub amount: f64,
-    /// Whether its instance had been told of the start.
+    /// Whether the endpoint list of the sender had the current start time of the backend.
     pub is_start_known: bool,
 }
 
+/// A process of a backend.
 pub struct Backend {
     pub endpoint: EndpointInfo,
-    /// When each core is free again.
+    /// When each core becomes free.
     core_free_at_ms: Vec<f64>,
-    /// What was sent to it since its start.
+    /// The work received since the start of the process, in order of arrival.
     pub received: Vec<ReceivedWork>,
     pub served: usize,
 }
 
+/// A simulated fleet.
 pub struct Fleet {
     pub scenario: Scenario,
     pub now_ms: f64,
     pub instances: Vec<Instance>,
     pub backends: BTreeMap<BackendId, Backend>,
-    /// Earlier processes of backends, with the time of their end.
+    /// Stopped processes of backends, with the time of their end.
     pub stopped: Vec<(Backend, f64)>,
-    /// All lists so far; instances are told the newest.
+    /// All endpoint lists that were published, oldest first.
     pub lists: Vec<Vec<EndpointInfo>>,
     pub served: usize,
+    /// Requests that instances rejected or failed.
     pub unserved: usize,
     queue: BinaryHeap<Reverse<ScheduledEvent>>,
     sequence: u64,
@@ -170,6 +184,7 @@
 }
 
 impl Fleet {
+    /// Runs a scenario to its end.
     pub fn run(scenario: Scenario, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(scenario, seed);
         while let Some(Reverse(scheduled)) =
@@ -234,7 +249,7 @@
         }
     }
 
-    /// The list has changed: each instance hears of it within the notice.
+    /// Publishes the endpoint list. It reaches each running instance after a random delay.
     fn publish(&mut self) {
         self.lists.push(self.backends.values().map(|backend| backend.endpoint.clone()).collect());
         let version = self.lists.len() - 1;
@@ -260,7 +275,7 @@
             }
             FleetEvent::InstanceStarted(instance_index) => self.start_instance(instance_index),
             FleetEvent::ListDelivered { instance_index, incarnation, version } => {
-                // Lists that come out of turn are not given on: what is newer has been told.
+                // A list that is older than one already delivered is dropped.
                 let instance = &self.instances[instance_index];
                 if instance.incarnation == incarnation && instance.list_version < version {
                     self.deliver_list(instance_index, version, EndpointListKind::Full);
@@ -306,7 +321,7 @@
                 self.publish();
             }
             Change::ReplaceBackend(old, new) => {
-                self.backends.get_mut(&old).expect("it runs").endpoint.phase = Phase::Draining;
+                self.backends.get_mut(&old).expect("a running backend").endpoint.phase = Phase::Draining;
                 self.start_backend(new, self.now_ms);
                 self.publish();
                 self.schedule(self.now_ms + 2000.0, FleetEvent::BackendStopped(old));
@@ -322,7 +337,7 @@
         let settings = Settings { instance_index: instance_index as u32, ..self.scenario.settings.clone() };
         let seed = self.rng.u64(..);
         let instance = &mut self.instances[instance_index];
-        instance.balancer = Some(Balancer::new(settings, seed).expect("settings are sound"));
+        instance.balancer = Some(Balancer::new(settings, seed).expect("valid settings"));
         (instance.idle_since, instance.open_requests, instance.unavailable_since) =
             (HashMap::new(), HashMap::new(), BTreeMap::new());
         self.deliver_list(instance_index, self.lists.len() - 1, EndpointListKind::Cached);
@@ -332,7 +347,7 @@
         self.schedule_request(instance_index);
     }
 
-    /// Every other list comes as its changes to the one before, where the instance has that.
+    /// Delivers an endpoint list. Every other list is sent as a delta if the instance has the list before it.
     fn deliver_list(&mut self, instance_index: usize, version: usize, kind: EndpointListKind) {
         let endpoints = self.lists[version].clone();
         let is_delta = kind == EndpointListKind::Full
@@ -364,7 +379,7 @@
         self.handle(instance_index, event);
     }
 
-    /// Requests a millisecond that an instance is asked.
+    /// Returns the request rate of an instance, in requests per millisecond.
     fn requests_per_ms(&self, instance_index: usize) -> f64 {
         let weight = |index: usize| {
             *self
@@ -444,9 +459,9 @@
         let unavailable_since = instance.unavailable_since.get(&backend);
         assert!(
             listed_start_ms.is_some() && unavailable_since.is_none(),
-            "copy {instance_index} sent to {backend}, told at {unavailable_since:?} that it takes nothing"
+            "instance {instance_index} sent to backend {backend}, unavailable since {unavailable_since:?} ms"
         );
-        let record = instance.open_requests.get_mut(&request).expect("it is open");
+        let record = instance.open_requests.get_mut(&request).expect("an open request");
         let (attempt, class) = (record.attempts.len(), record.class);
         record.attempts.push((backend, self.now_ms));
         let idle = instance.idle_since.entry(backend).or_default();
@@ -523,7 +538,8 @@
         self.handle(instance_index, Event::AttemptFinished(result));
     }
 
-    /// Backends that started cold, with the end of their cold time.
+    /// Returns the backend processes that started during the run, each with the time at which its slow start
+    /// ended or the process stopped.
     fn slow_start_backends(&self) -> impl Iterator<Item = (&Backend, f64)> {
         let warm_up_ms = self.scenario.settings.guarantees.warm_up_ms;
         let stopped = self.stopped.iter().map(|(backend, end)| (backend, *end));
@@ -532,9 +548,10 @@
         restarted.map(move |(backend, end)| (backend, end.min(backend.endpoint.started_at_ms + warm_up_ms)))
     }
 
-    /// The worst window at a backend that is warming up: work beyond its budget of N, over the 2 sqrt(N) + 2 that are
-    /// chance; above 1 it falls. As in the rule, windows count of which over two thirds come from instances that
-    /// were told of the start.
+    /// Returns the worst overload of a backend in slow start. For each window it is the work beyond the
+    /// budget N, divided by 2 sqrt(N) + 2, the excess that random arrivals may cause; above 1 the backend is
+    /// overloaded. As in the guarantee, only windows count in which more than two thirds of the work
+    /// come from instances that know of the start.
     pub fn worst_overload(&self) -> f64 {
         let (guarantees, window_ms) = (&self.scenario.settings.guarantees, self.scenario.overload_window_ms);
         let capacity = self.scenario.cores_per_backend as f64 / self.scenario.mean_service_ms;
@@ -563,7 +580,8 @@
         worst
     }
 
-    /// Records that an instance holds of backends, beyond those of its list and of its open requests' attempts.
+    /// Returns how many backend records an instance holds beyond those of its endpoint list and of the
+    /// attempts of its open requests.
     pub fn excess_backend_records(&self, instance_index: usize) -> usize {
         let instance = &self.instances[instance_index];
         let attempts: usize = instance.open_requests.values().map(|record| record.attempts.len()).sum();
@@ -571,8 +589,8 @@
         known.saturating_sub(self.lists[instance.list_version].len() + attempts)
     }
 
-    /// Work that backends that are warming up got, as a share of what they could have done: the mean, and the least at one
-    /// that was there for its whole cold time.
+    /// Returns the work that backends received in slow start as a share of their capacity: the mean, and the
+    /// minimum. Only backends that ran for their whole slow start count.
     pub fn slow_start_utilization(&self) -> (f64, f64) {
         let guarantees = &self.scenario.settings.guarantees;
         let capacity = self.scenario.cores_per_backend as f64 / self.scenario.mean_service_ms;
@@ -592,7 +610,7 @@
     }
 }
 
-/// Capacity that a backend surely has, as a share of its full one.
+/// Returns the guaranteed capacity of a backend, as a share of its full capacity.
 fn warm_up_fraction(guarantees: &Guarantees, endpoint: &EndpointInfo, now_ms: f64) -> f64 {
     if endpoint.started_at_ms == 0.0 {
         return 1.0;
--- a/crates/balancer/tests/support/harness.rs
+++ b/crates/balancer/tests/support/harness.rs
@@ -1,16 +1,20 @@
-//! A proxy's side of the interface: delivers legal events on a clock and keeps its own record of what was
-//! sent and answered, by which the rules are checked. It models no servers: outcomes are what a test says.
+//! Plays the proxy of a balancer: delivers valid events on a simulated clock and checks each action against
+//! its own record of requests and attempts. It simulates no backends; the test decides the outcome of each
+//! attempt.
 
 use foldhitch_balancer::Balancer;
 use foldhitch_balancer::api::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
+/// How long after its deadline a request may still get its final answer.
 pub const FINAL_ANSWER_TOLERANCE_MS: f64 = 20.0;
 
+/// Returns a class without an ordering key.
 pub fn class(latency_objective_ms: f64, priority_weight: f64, idempotency: Idempotency) -> Class {
     Class { latency_objective_ms, priority_weight, idempotency, is_ordered_by_key: false }
 }
 
+/// Returns the settings of one of `instance_count` instances, the same for all tests but for the classes.
 pub fn settings(instance_count: u32, classes: Vec<Class>) -> Settings {
     Settings {
         instance_count,
@@ -35,58 +39,65 @@
     }
 }
 
+/// Returns a ready endpoint whose process started long ago.
 pub fn endpoint(backend: BackendId) -> EndpointInfo {
     EndpointInfo { backend, weight: 1.0, ..EndpointInfo::default() }
 }
 
+/// Returns `n` ready endpoints, with backend numbers from 1.
 pub fn endpoints(n: u32) -> Vec<EndpointInfo> {
     (1..=n).map(endpoint).collect()
 }
 
+/// An attempt that the balancer sent.
 #[derive(Debug, Clone)]
 pub struct SentAttempt {
     pub backend: BackendId,
     pub sent_at_ms: f64,
     pub expires_at_ms: f64,
     pub outcome: Option<Outcome>,
-    /// When the outcome came.
+    /// When the outcome was reported.
     pub finished_at_ms: f64,
 }
 
+/// A request as the harness recorded it.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
     pub key: u64,
     pub class: usize,
-    /// The class and the most attempts, as it was taken: settings that change later change neither.
+    /// The class and the attempt limit at admission; later settings change neither.
     pub admitted_with: (Class, u32),
     pub deadline_ms: f64,
     pub attempts: Vec<SentAttempt>,
-    /// When it ended and how: served, refused, failed or hung up.
+    /// When and how the request ended: `served`, `rejected`, `failed` or `disconnected`.
     pub ended: Option<(f64, &'static str)>,
 }
 
+/// A balancer with a proxy that checks its actions.
 pub struct ProxyHarness {
     pub balancer: Balancer,
     pub settings: Settings,
     pub now_ms: f64,
     pub requests: BTreeMap<RequestId, RequestRecord>,
+    /// The last state of each endpoint that was ever listed; removed ones have the phase `Gone`.
     pub known_endpoints: HashMap<BackendId, EndpointInfo>,
     pub polled_at_ms: Vec<f64>,
-    /// Backends that the operators left out.
+    /// Backends that operators have suspended.
     pub suspended: BTreeSet<BackendId>,
-    /// Whether clients are sent away, each time that it changed.
+    /// The changes of the draining state, in order.
     pub drain_changes: Vec<bool>,
-    /// When idle connections were last closed.
+    /// When the idle connections to each backend were last closed.
     pub idle_closed_at_ms: HashMap<BackendId, f64>,
-    /// Attempts withdrawn and still without an outcome.
+    /// Cancelled attempts whose outcome has not been reported yet.
     cancelled: Vec<(RequestId, usize)>,
     timers: Vec<(f64, TimerToken)>,
     next_request: RequestId,
 }
 
 impl ProxyHarness {
+    /// Creates a harness whose balancer starts with `endpoints` as its cached endpoint list.
     pub fn new(settings: Settings, seed: u64, endpoints: Vec<EndpointInfo>) -> Self {
-        let balancer = Balancer::new(settings.clone(), seed).expect("settings are sound");
+        let balancer = Balancer::new(settings.clone(), seed).expect("valid settings");
         let mut harness = ProxyHarness {
             balancer,
             settings,
@@ -105,6 +116,7 @@
         harness
     }
 
+    /// Delivers an endpoint list, and checks that idle connections to draining endpoints are closed.
     pub fn update_endpoints(&mut self, kind: EndpointListKind, endpoints: Vec<EndpointInfo>) {
         if kind != EndpointListKind::Delta && kind != EndpointListKind::Failed {
             self.known_endpoints.values_mut().for_each(|e| e.phase = Phase::Gone);
@@ -117,7 +129,8 @@
         draining.iter().for_each(|e| self.assert_idle_connections_closed(e.backend));
     }
 
-    /// Connections to a draining backend are closed at the notice and after each outcome there.
+    /// Checks that idle connections to a draining backend were closed just now. This is due when the endpoint
+    /// list reports it as draining and after each outcome of an attempt there.
     fn assert_idle_connections_closed(&self, backend: BackendId) {
         if self.settings.guarantees.idle_release_ms > 0.0
             && self.known_endpoints[&backend].phase == Phase::Draining
@@ -125,12 +138,13 @@
             assert_eq!(
                 self.idle_closed_at_ms.get(&backend),
                 Some(&self.now_ms),
-                "connections to {backend} are kept open"
+                "idle connections to draining backend {backend} were not closed"
             );
         }
     }
 
-    /// Nothing is sent for a key while an earlier request is open, has an attempt out or left a doubt.
+    /// Checks that a request is sent only when earlier requests with its ordering key have ended, have no
+    /// attempt in flight, and the key quarantine after attempts that may still be running is over.
     fn assert_ordering_key_is_free(&self, request: RequestId) {
         let record = &self.requests[&request];
         let is_ordered = |record: &RequestRecord| record.admitted_with.0.is_ordered_by_key;
@@ -140,9 +154,9 @@
         for (id, earlier) in
             self.requests.range(..request).filter(|(_, e)| e.key == record.key && is_ordered(e))
         {
-            assert!(earlier.ended.is_some(), "{request} sent before {id} is over");
+            assert!(earlier.ended.is_some(), "request {request} was sent before request {id} ended");
             for s in &earlier.attempts {
-                let quarantine_ms = match s.outcome.expect("every attempt has its outcome") {
+                let quarantine_ms = match s.outcome.expect("no attempt of an ended request is in flight") {
                     Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
                         self.settings.guarantees.key_quarantine_ms
                     }
@@ -150,13 +164,13 @@
                 };
                 assert!(
                     self.now_ms >= s.finished_at_ms + quarantine_ms,
-                    "{request} sent while {id} may still run"
+                    "request {request} was sent while request {id} may still be running"
                 );
             }
         }
     }
 
-    /// Delivers an event and checks each action against the four rules.
+    /// Delivers an event, and checks and applies the resulting actions.
     pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now_ms, event, &mut actions);
@@ -172,7 +186,7 @@
                 Action::Reject { request, .. } => self.record_rejection(request),
                 Action::Fail { request, .. } => self.record_end(request, "failed"),
                 Action::SetTimer { delay_ms, token } => {
-                    assert!(delay_ms.is_finite() && delay_ms > 0.0, "timers lie ahead");
+                    assert!(delay_ms.is_finite() && delay_ms > 0.0, "timers are set for a later time");
                     self.timers.push((self.now_ms + delay_ms, token));
                 }
                 Action::CloseIdleConnections { backend } => {
@@ -187,15 +201,18 @@
                     } else {
                         self.suspended.remove(&backend)
                     };
-                    assert!(changed, "carried out twice");
+                    assert!(changed, "the suspension of backend {backend} did not change");
                 }
                 Action::SetDraining { is_draining } => self.drain_changes.push(is_draining),
                 Action::Cancel { request, attempt } => {
                     self.cancelled.push((request, usize::from(attempt)));
-                    assert!(self.settings.capabilities.can_cancel, "cancelled where that is not allowed");
+                    assert!(
+                        self.settings.capabilities.can_cancel,
+                        "cancelled although the settings forbid it"
+                    );
                     assert!(
                         self.requests[&request].attempts.len() > usize::from(attempt),
-                        "cancelled what was never sent"
+                        "cancelled an attempt that was never sent"
                     );
                 }
             }
@@ -204,35 +221,41 @@
 
     fn record_attempt(&mut self, request: RequestId, backend: BackendId, expires_at_ms: f64) {
         self.assert_ordering_key_is_free(request);
-        let endpoint = self.known_endpoints.get(&backend).expect("sent to a backend that no list named");
-        assert_eq!(endpoint.phase, Phase::Ready, "sent to a draining or gone backend");
+        let endpoint = self.known_endpoints.get(&backend).expect("the endpoint list has named the backend");
+        assert_eq!(endpoint.phase, Phase::Ready, "sent to a draining or removed backend");
         assert!(!self.suspended.contains(&backend), "sent to a suspended backend");
         let (zone, cell) = (endpoint.zone, endpoint.cell);
-        let record = self.requests.get_mut(&request).expect("sent a request that was never asked");
-        assert!(record.ended.is_none(), "sent after its end");
+        let record = self.requests.get_mut(&request).expect("the request was submitted");
+        assert!(record.ended.is_none(), "request {request} was sent after it ended");
         assert!(expires_at_ms <= record.deadline_ms);
         assert!(
             record.attempts.len()
                 < record.admitted_with.1.min(self.settings.capabilities.max_attempts) as usize,
-            "too many attempts"
+            "request {request} exceeds its attempt limit"
         );
         let in_flight = record.attempts.iter().filter(|s| s.outcome.is_none()).count();
-        assert_eq!(in_flight, 0, "two attempts out at once");
+        assert_eq!(in_flight, 0, "request {request} has two attempts in flight");
         if let Some(ran) = record.attempts.iter().find(|s| s.outcome.is_none_or(|o| !o.never_ran())) {
             let first_location = self.known_endpoints.get(&ran.backend).map(|e| (e.zone, e.cell));
             match record.admitted_with.0.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("a fragile request that may have run was sent again"),
+                Idempotency::NonIdempotent => {
+                    panic!("a non-idempotent request that may have run was retried")
+                }
                 Idempotency::Deduplicated { scope, window_ms } => {
-                    assert!(self.now_ms < ran.sent_at_ms + window_ms, "repeated after the window");
-                    let (first_zone, first_cell) = first_location.expect("listed");
+                    assert!(
+                        self.now_ms < ran.sent_at_ms + window_ms,
+                        "retried after the deduplication window"
+                    );
+                    let (first_zone, first_cell) =
+                        first_location.expect("the endpoint list has named the backend");
                     assert!(
                         scope != DeduplicationScope::Zone || first_zone == zone,
-                        "repeated in another zone"
+                        "retried in another zone"
                     );
                     assert!(
                         scope != DeduplicationScope::Cell || first_cell == cell,
-                        "repeated in another cell"
+                        "retried in another cell"
                     );
                 }
             }
@@ -255,27 +278,30 @@
             Idempotency::Idempotent
                 | Idempotency::Deduplicated { scope: DeduplicationScope::AllBackends, .. }
         );
-        assert!(never_ran || is_repeatable_anywhere, "refused what may have run");
+        assert!(
+            never_ran || is_repeatable_anywhere,
+            "rejected request {request}, which may have run and must not be retried"
+        );
         self.record_end(request, "rejected");
     }
 
     fn record_end(&mut self, request: RequestId, end: &'static str) {
-        let record = self.requests.get_mut(&request).expect("ended a request that was never asked");
-        assert!(record.ended.is_none(), "answered twice");
+        let record = self.requests.get_mut(&request).expect("the request was submitted");
+        assert!(record.ended.is_none(), "request {request} ended twice");
         assert!(
             self.now_ms <= record.deadline_ms + FINAL_ANSWER_TOLERANCE_MS,
-            "answered {} ms late",
+            "final answer {} ms after the deadline",
             self.now_ms - record.deadline_ms
         );
         record.ended = Some((self.now_ms, end));
     }
 
-    /// A new request; its id.
+    /// Submits a request without an ordering key and returns its ID.
     pub fn submit_request(&mut self, class: usize, tenant: u16, timeout_ms: f64) -> RequestId {
         self.submit_keyed_request(0, class, tenant, timeout_ms)
     }
 
-    /// A new request about a key; its id.
+    /// Submits a request with an ordering key (0 is none) and returns its ID.
     pub fn submit_keyed_request(
         &mut self,
         key: u64,
@@ -309,7 +335,7 @@
         (request, deadline_ms)
     }
 
-    /// Puts other settings in force, whose classes and tenants continue those told.
+    /// Replaces the settings. The lists name the class and the tenant that each new one continues.
     pub fn configure(
         &mut self,
         settings: Settings,
@@ -330,7 +356,7 @@
         Ok(version)
     }
 
-    /// A new request whose body is still arriving; its id.
+    /// Submits a request whose body is still arriving and returns its ID.
     pub fn submit_streamed_request(&mut self, class: usize, timeout_ms: f64) -> RequestId {
         let (request, deadline_ms) = self.record_arrival(0, class, timeout_ms);
         let arrival = RequestArrival {
@@ -345,12 +371,12 @@
         request
     }
 
-    /// Ends an attempt.
+    /// Reports the outcome of an attempt.
     pub fn finish_attempt(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
         self.finish_attempt_as(request, attempt, outcome, false);
     }
 
-    /// Ends an attempt that took the request's body along.
+    /// Reports the outcome of an attempt that consumed the streamed body of its request.
     pub fn finish_consumed_attempt(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
         self.finish_attempt_as(request, attempt, outcome, true);
     }
@@ -362,7 +388,7 @@
         outcome: Outcome,
         is_body_consumed: bool,
     ) {
-        let record = self.requests.get_mut(&request).expect("asked");
+        let record = self.requests.get_mut(&request).expect("the request was submitted");
         let s = &mut record.attempts[attempt];
         assert!(s.outcome.is_none());
         (s.outcome, s.finished_at_ms) = (Some(outcome), self.now_ms);
@@ -384,12 +410,13 @@
         self.assert_idle_connections_closed(backend);
     }
 
+    /// Reports that the client of a request disconnected.
     pub fn disconnect(&mut self, request: RequestId) {
         self.record_end(request, "disconnected");
         self.handle(Event::ClientDisconnected { request });
     }
 
-    /// Attempts that are out, oldest request first.
+    /// Returns the attempts in flight as request, attempt number and record, in the order of request IDs.
     pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize, SentAttempt)> {
         let sends = |(&id, record): (&RequestId, &RequestRecord)| {
             let of = record.attempts.iter().enumerate().filter(|(_, s)| s.outcome.is_none());
@@ -398,7 +425,8 @@
         self.requests.iter().flat_map(sends).collect()
     }
 
-    /// Moves the clock, firing timers and attempts' time-outs on the way.
+    /// Advances the clock to `end_ms` in ticks. Fires due timers, times out expired attempts and reports
+    /// cancelled ones at each tick.
     pub fn advance_to(&mut self, end_ms: f64) {
         while self.now_ms < end_ms {
             self.now_ms = (self.now_ms + self.settings.tick_ms).min(end_ms);
@@ -417,14 +445,16 @@
         }
     }
 
-    /// Drops the record of what is over, so that long tests stay quick.
+    /// Drops the records of requests that ended and have no attempt in flight, so that long tests stay fast.
     pub fn forget_finished_requests(&mut self) {
         self.requests.retain(|_, record| {
             record.ended.is_none() || record.attempts.iter().any(|s| s.outcome.is_none())
         });
     }
 
-    /// Serves steadily: `requests_per_tick` requests of a class each tick, every answer after `latency_ms`; how many were refused.
+    /// Submits `requests_per_tick` requests of a class each tick and finishes each attempt successfully after
+    /// `latency_ms`. Returns the number of rejections, counting a request again at each tick while it has an
+    /// attempt in flight.
     pub fn serve_steadily(
         &mut self,
         duration_ms: f64,
--- a/crates/balancer/tests/support/mod.rs
+++ b/crates/balancer/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! What the tests of the balancer have in common.
-#![allow(dead_code, unused_imports)] // each test program uses a part of it
+//! Helpers that the integration tests of the balancer share.
+// Each test binary uses only some of these helpers.
+#![allow(dead_code, unused_imports)]
 
 pub mod fleet;
 pub mod harness;
