--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! What the balancer decides, by kind of trouble. Each test fails without the piece that it names.
+//! Decisions of the balancer under overload, failures and reconfiguration of the fleet. Each test fails
+//! without the mechanism that it names.
 
 mod support;
 
@@ -7,11 +8,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use support::*;
 
+/// Returns settings with one idempotent class.
 fn single_class_settings(instance_count: u32) -> Settings {
     settings(instance_count, vec![class(1000.0, 1.0, Idempotency::Idempotent)])
 }
 
-/// How many calls an instance has out when more are asked than it takes.
+/// Submits `requests` requests, more than the limit admits, and returns the number of attempts in flight.
 fn fill_limit(proxy: &mut ProxyHarness, class: usize, tenant: u16, requests: usize) -> usize {
     (0..requests).for_each(|_| {
         proxy.submit_request(class, tenant, 1e5);
@@ -19,6 +21,7 @@
     proxy.attempts_in_flight().len()
 }
 
+/// Returns the number of attempts sent to each backend.
 fn attempts_by_backend(proxy: &ProxyHarness) -> BTreeMap<BackendId, usize> {
     let mut counts = BTreeMap::new();
     proxy
@@ -29,11 +32,13 @@
     counts
 }
 
+/// Guards against a limit that starts too low for full traffic, or that does not grow while responses are
+/// fast.
 #[test]
 fn used_limit_grows_while_responses_are_fast() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
     let start = fill_limit(&mut proxy, 0, 0, 400);
-    assert!(start >= 30, "a start into full traffic refuses what ten idle backends could serve: {start}");
+    assert!(start >= 30, "the initial limit of {start} rejects what ten idle backends could serve");
     for _ in 0..200 {
         proxy.advance_to(proxy.now_ms + 50.0);
         proxy
@@ -44,20 +49,20 @@
         fill_limit(&mut proxy, 0, 0, 400);
     }
     let grown = proxy.attempts_in_flight().len();
-    assert!(grown >= 4 * start, "{start} calls out at first, {grown} after 10 s of quick answers");
+    assert!(grown >= 4 * start, "{start} attempts in flight at first, {grown} after 10 s of fast responses");
 }
 
-/// Guards against a limit that wanders off on an idle instance.
+/// Guards against a limit that drifts while an instance is idle.
 #[test]
 fn unused_limit_stays() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
     let start = fill_limit(&mut ProxyHarness::new(single_class_settings(1), 1, endpoints(10)), 0, 0, 400);
     proxy.serve_steadily(10_000.0, 1, 0, 10.0);
     let after = fill_limit(&mut proxy, 0, 0, 400);
-    assert!(after <= start + 1, "{start} at first, {after} after a quiet time");
+    assert!(after <= start + 1, "limit {start} at first, {after} after a time of low load");
 }
 
-/// A release takes each backend out and brings it back.
+/// Guards against a limit that shrinks a little each time a release removes a backend and adds it again.
 #[test]
 fn limit_survives_backends_that_leave_and_return() {
     let start = fill_limit(&mut ProxyHarness::new(single_class_settings(1), 1, endpoints(10)), 0, 0, 400);
@@ -71,6 +76,8 @@
     assert_eq!(fill_limit(&mut proxy, 0, 0, 400), start);
 }
 
+/// Guards against a limit that ignores overload: slow responses, or a third of the attempts rejected by
+/// backends.
 #[test]
 fn limit_falls_on_slow_or_rejected_responses() {
     for (latency_ms, outcome) in [(900.0, Outcome::Ok), (60.0, Outcome::Full)] {
@@ -86,27 +93,28 @@
             fill_limit(&mut proxy, 0, 0, 400);
         }
         let after = proxy.attempts_in_flight().len();
-        assert!(after < before * 3 / 4, "{outcome:?}: {before} calls out before, {after} after");
+        assert!(after < before * 3 / 4, "{outcome:?}: {before} attempts in flight before, {after} after");
     }
 }
 
-/// The first answers after a change are the quick ones; a limit that grows on them alone overshoots.
+/// Guards against a limit that overshoots. The first responses after a change are the fast ones, and a limit
+/// that grows on them alone ignores the attempts that are still in flight.
 #[test]
 fn few_fast_responses_do_not_raise_the_limit() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
     let start = fill_limit(&mut proxy, 0, 0, 400);
     for _ in 0..40 {
         proxy.advance_to(proxy.now_ms + 50.0);
-        // Only the newest call is answered; all others stay out.
+        // Only the newest attempt finishes; all others stay in flight.
         if let Some((request, attempt, _)) = proxy.attempts_in_flight().pop() {
             proxy.finish_attempt(request, attempt, Outcome::Ok);
         }
     }
     let after = fill_limit(&mut proxy, 0, 0, 400);
-    assert!(after <= start + 1, "{start} at first, {after} on a few quick answers");
+    assert!(after <= start + 1, "limit {start} at first, {after} after a few fast responses");
 }
 
-/// Objection: after the tier shrinks, limits stay high until latency climbs.
+/// Guards against a limit that stays high after the tier shrinks, until the latency rises.
 #[test]
 fn limit_shrinks_with_the_endpoint_list() {
     let admitted = |is_shrunk: bool| {
@@ -117,10 +125,11 @@
         fill_limit(&mut proxy, 0, 0, 400)
     };
     let (full, shrunk) = (admitted(false), admitted(true));
-    assert!(shrunk * 3 <= full, "{full} calls out over 20 backends, {shrunk} over the 5 left");
+    assert!(shrunk * 3 <= full, "{full} attempts in flight over 20 backends, {shrunk} over the remaining 5");
 }
 
-/// Each of many instances sees few answers in a window; that all of them are slow is enough.
+/// Guards against limits that stay up in a large fleet: each instance sees only a few responses in a window,
+/// and that all of them are slow must be enough.
 #[test]
 fn limits_fall_on_few_slow_responses_per_instance() {
     let (instance_count, mut before, mut after) = (10, 0, 0);
@@ -140,7 +149,7 @@
             0,
             100,
         );
-        // 20 calls a second, answered after 0.2 s and then after 0.55 s; the objective's share is 0.4 s.
+        // 20 requests per second with a latency of 0.2 s and then 0.55 s; the target latency is 0.3 s.
         for n in 0..3000 {
             if n % 10 == 0 {
                 proxy.submit_request(0, 0, 1e5);
@@ -158,12 +167,12 @@
     }
     assert!(
         after * 4 <= before * 3,
-        "all copies admit {before} calls at first and {after} when answers are slow"
+        "all instances admit {before} attempts at first and {after} when responses are slow"
     );
 }
 
-/// Instances that fill queues up together overdrive backends long before answers are late: the limit does not grow
-/// into that.
+/// Guards against a limit that grows while backend queues fill up. Several instances together overload the
+/// backends long before responses are late, at a latency of about a third of the objective.
 #[test]
 fn growing_backend_queues_keep_the_limit_down() {
     let mut proxy = ProxyHarness::new(single_class_settings(4), 1, endpoints(10));
@@ -171,10 +180,14 @@
     proxy.serve_steadily(5000.0, 1, 0, 100.0);
     proxy.serve_steadily(10_000.0, 1, 0, 360.0);
     let after = fill_limit(&mut proxy, 0, 0, 100);
-    assert!(after * 4 <= before * 5, "{before} calls out at first, {after} after 10 s of growing queues");
+    assert!(
+        after * 4 <= before * 5,
+        "{before} attempts in flight at first, {after} after 10 s of growing queues"
+    );
 }
 
-/// A backend that is warming up takes longer for the same work. That is no queue, and it is not left as one that is overdriven.
+/// Guards against the ejection of backends in slow start as overloaded. A backend that is warming up takes
+/// longer for the same work without having a queue.
 #[test]
 fn backends_slow_from_warm_up_stay_in_service() {
     let attempts_at_new_backends = |is_cold: bool| {
@@ -207,10 +220,11 @@
         attempts
     };
     let (warm, cold) = (attempts_at_new_backends(false), attempts_at_new_backends(true));
-    assert!(cold * 5 >= warm, "{cold} calls to the cold ones, {warm} if they were warm");
+    assert!(cold * 5 >= warm, "{cold} attempts at backends in slow start, {warm} at warm ones");
 }
 
-/// Cold backends bring what they bear and no more: counted in full, their part would go to the warm ones.
+/// Guards against a limit that counts backends in slow start in full. They can only take part of that, and
+/// the rest would go to the warm backends.
 #[test]
 fn limit_grows_as_new_backends_warm_up() {
     let before =
@@ -224,10 +238,15 @@
         fill_limit(&mut proxy, 0, 0, 400) as f64 / before
     };
     let (at_once, warm) = (growth(0.0), growth(20_000.0));
-    assert!((1.05..1.2).contains(&at_once), "ten cold backends beside ten warm ones: {at_once} of the limit");
-    assert!((1.9..=2.1).contains(&warm), "when they are warm: {warm}");
+    assert!(
+        (1.05..1.2).contains(&at_once),
+        "ten backends in slow start beside ten warm ones: {at_once} of the limit"
+    );
+    assert!((1.9..=2.1).contains(&warm), "twenty warm backends: {warm} of the limit");
 }
 
+/// Guards against two faults under overload: low priority takes slots from high priority, or high priority
+/// takes all slots of the low-priority slice.
 #[test]
 fn low_priority_is_shed_first_and_keeps_its_slice() {
     let classes =
@@ -235,10 +254,12 @@
     let mut proxy = ProxyHarness::new(settings(1, classes), 1, endpoints(10));
     let total = fill_limit(&mut proxy, 1, 0, 400);
     let high = fill_limit(&mut proxy, 0, 0, 400) - total;
-    // Past the total, the slice of share 0.9 still fills up to its own limit; that of 0.1 takes no more.
+    // Past the total limit, the slice with a share of 0.9 still fills up to its own limit; the one with 0.1
+    // does not.
     assert_eq!(high, (total as f64 * 0.9).ceil() as usize);
     assert_eq!(fill_limit(&mut proxy, 1, 0, 50), total + high);
-    // When everything returns, one slot of the low slice is kept under a flood of the high one.
+    // After all attempts finish and high priority fills the limit, the low-priority slice still has its
+    // share.
     proxy.advance_to(proxy.now_ms + 1000.0);
     proxy
         .attempts_in_flight()
@@ -249,28 +270,31 @@
     assert_eq!(fill_limit(&mut proxy, 1, 0, 400) - high, (high as f64 * 0.1).ceil() as usize);
 }
 
-/// A tenant past its quota is demoted, not refused: it is served while there is room and last when not.
+/// Guards against the rejection of a tenant over its quota while there is spare capacity: its requests only
+/// get a lower priority.
 #[test]
 fn tenant_over_quota_is_served_from_spare_capacity() {
     let mut settings = single_class_settings(1);
     settings.tenants = vec![Tenant { quota_per_s: 10.0 }, Tenant { quota_per_s: 10.0 }];
     let mut proxy = ProxyHarness::new(settings.clone(), 1, endpoints(10));
     let total = fill_limit(&mut proxy, 0, 0, 400);
-    assert!(total >= 20, "capacity left over is used: {total}");
-    assert_eq!(fill_limit(&mut proxy, 0, 1, 9), total + 9, "another tenant within its quota is not kept out");
-    // Behind the first tier work is under way already: no demotion.
+    assert!(total >= 20, "spare capacity is not used: {total} attempts");
+    assert_eq!(fill_limit(&mut proxy, 0, 1, 9), total + 9, "a tenant within its quota was rejected");
+    // In later tiers the work for a request has already begun, so the priority stays.
     settings.tier = 1;
     let mut proxy = ProxyHarness::new(settings, 1, endpoints(10));
     let deep = fill_limit(&mut proxy, 0, 0, 400);
     assert_eq!(fill_limit(&mut proxy, 0, 1, 9), deep);
 }
 
+/// Guards against a queue that ignores priority, or that holds requests after their queue timeout.
 #[test]
 fn queue_is_sent_by_priority_and_rejected_in_time() {
     let classes =
         vec![class(1000.0, 9.0, Idempotency::NonIdempotent), class(1000.0, 1.0, Idempotency::NonIdempotent)];
     let mut proxy = ProxyHarness::new(settings(1, classes), 1, endpoints(5));
-    let in_flight = fill_limit(&mut proxy, 1, 0, 24); // the low slice fills the total and holds four more
+    // The low-priority slice fills the total limit and queues four more.
+    let in_flight = fill_limit(&mut proxy, 1, 0, 24);
     let low: Vec<_> = proxy
         .requests
         .iter()
@@ -278,31 +302,32 @@
         .map(|(&request, _)| request)
         .collect();
     assert_eq!((in_flight, low.len()), (20, 4));
-    fill_limit(&mut proxy, 0, 0, 20); // the high slice fills its own share past the total
+    // The high-priority slice fills its own share past the total limit.
+    fill_limit(&mut proxy, 0, 0, 20);
     let high = *proxy
         .requests
         .iter()
         .find(|(_, record)| record.class == 0 && record.attempts.is_empty())
-        .expect("one is held")
+        .expect("a queued request of high priority")
         .0;
     proxy.advance_to(proxy.now_ms + 20.0);
     let (request, attempt, _) =
-        proxy.attempts_in_flight().pop().expect("a call of the high slice, the last to be sent");
+        proxy.attempts_in_flight().pop().expect("the newest attempt, of the high-priority slice");
     proxy.finish_attempt(request, attempt, Outcome::Ok);
-    assert_eq!(proxy.requests[&high].attempts.len(), 1, "the first slot goes to the most worth");
+    assert_eq!(proxy.requests[&high].attempts.len(), 1, "the first free slot goes to the highest priority");
     assert!(
         low.iter().all(|request| proxy.requests[request].attempts.is_empty()),
-        "though the others came first"
+        "low priority was sent first because it arrived first"
     );
     proxy.advance_to(proxy.now_ms + 300.0);
     assert!(
         low.iter().all(|request| proxy.requests[request].ended.is_some_and(|e| e.1 == "rejected")),
-        "held for ever"
+        "low priority stayed queued past its timeout"
     );
 }
 
-/// Instances tile the tier: every backend is in somebody's subset, and no instance meets the whole tier at low load.
-/// At the end of a planned stop there is no time left for an answer.
+/// Guards against requests that are sent at their deadline, when no response can be in time. This happens at
+/// the end of a planned stop, where the remaining time is cut to nothing.
 #[test]
 fn request_past_its_deadline_is_rejected_at_once() {
     for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
@@ -318,6 +343,8 @@
     }
 }
 
+/// Guards against backends that are in the subset of no instance, and against instances that use the whole
+/// tier at low load.
 #[test]
 fn subsets_together_cover_the_tier() {
     for (instance_count, backends) in [(10, 60), (40, 100), (3, 30)] {
@@ -336,7 +363,7 @@
             let subset = attempts_by_backend(&proxy);
             assert!(
                 instance_count < 4 || subset.len() * 2 < backends as usize,
-                "copy {instance_index} of {instance_count} met {}",
+                "instance {instance_index} of {instance_count} used {} backends",
                 subset.len()
             );
             subset.keys().for_each(|&b| *instances_by_backend.entry(b).or_default() += 1);
@@ -344,11 +371,12 @@
         assert_eq!(
             instances_by_backend.len(),
             backends as usize,
-            "{instance_count} copies leave backends out"
+            "{instance_count} instances leave backends unused"
         );
     }
 }
 
+/// Guards against a subset that does not follow the load, or that narrows as soon as a burst ends.
 #[test]
 fn subset_widens_with_load_and_narrows_slowly() {
     let backends_used = |proxy: &mut ProxyHarness, duration_ms: f64| {
@@ -369,12 +397,13 @@
     let quiet = backends_used(&mut proxy, 20_000.0);
     proxy.serve_steadily(6000.0, 6, 0, 200.0);
     let after = backends_used(&mut proxy, 10_000.0);
-    assert!(after > 2 * quiet, "{quiet} when quiet, {after} after a rush");
+    assert!(after > 2 * quiet, "{quiet} backends at low load, {after} after a burst");
     backends_used(&mut proxy, 120_000.0);
     let later = backends_used(&mut proxy, 20_000.0);
-    assert!(later < after, "{after} after the rush, {later} two minutes on");
+    assert!(later < after, "{after} backends after the burst, {later} two minutes later");
 }
 
+/// Guards against equal load on backends of different speed.
 #[test]
 fn load_follows_the_speed_of_each_backend() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
@@ -391,10 +420,11 @@
         }
         proxy.forget_finished_requests();
     }
-    assert!(attempts[&false] > 2 * attempts[&true], "quick and slow halves got {attempts:?}");
+    assert!(attempts[&false] > 2 * attempts[&true], "attempts by whether the backend is slow: {attempts:?}");
 }
 
-/// Runs an instance at a steady rate; `answer` says for a call how it ends now, if it does.
+/// Submits a request every 5 ms for `duration_ms`. `outcome_of` returns the outcome of an attempt, or `None`
+/// while it stays in flight. Returns the number of attempts sent to each backend.
 fn run_for(
     proxy: &mut ProxyHarness,
     duration_ms: f64,
@@ -418,11 +448,13 @@
     attempts
 }
 
+/// Finishes an attempt successfully after 50 ms.
 fn answers_in_50_ms(sent: &SentAttempt, now_ms: f64) -> Option<Outcome> {
     (now_ms - sent.sent_at_ms >= 50.0).then_some(Outcome::Ok)
 }
 
-/// Objection: an unresponsive backend holds slots until time-out. It is ejected, its calls go elsewhere, it comes back.
+/// Guards against an unresponsive backend that holds slots until its attempts time out: it must be ejected,
+/// other backends take its requests, and it is used again after it recovers.
 #[test]
 fn unresponsive_backend_is_ejected_and_restored() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
@@ -441,21 +473,21 @@
         );
     assert!(
         hanging.get(&2).copied().unwrap_or(0) <= 3,
-        "sent on to a hanging backend: {hanging:?}, {stuck} stuck"
+        "the unresponsive backend still gets attempts: {hanging:?}, {stuck} unanswered"
     );
     run_for(&mut proxy, 30_000.0, answers_in_50_ms);
     let back = run_for(&mut proxy, 3000.0, answers_in_50_ms);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "not taken back: {back:?}");
+    assert!(back.get(&2).copied().unwrap_or(0) > 20, "the backend is not restored: {back:?}");
 }
 
-/// A backend may answer one class and swallow another, which its answers must not hide: it is left for that class
-/// alone, also if nothing of it may run twice, and taken back for it later.
+/// Guards against a backend that responds to one class and ignores another one: its responses must not hide
+/// that. It is ejected for the ignored class only, even if that is not idempotent, and restored for it later.
 #[test]
 fn backend_ignoring_one_class_is_ejected_for_that_class() {
     let classes =
         vec![class(1000.0, 1.0, Idempotency::Idempotent), class(1000.0, 2.0, Idempotency::NonIdempotent)];
     let mut proxy = ProxyHarness::new(settings(1, classes), 1, endpoints(8));
-    // How many of each class were sent to backend 2.
+    // Returns the number of attempts of each class at backend 2.
     let mut attempts_at_backend_2 = |duration_ms: f64, ignores_class_1: bool| {
         let (end_ms, mut attempts) = (proxy.now_ms + duration_ms, [0, 0]);
         while proxy.now_ms < end_ms {
@@ -480,13 +512,17 @@
     attempts_at_backend_2(3000.0, false);
     attempts_at_backend_2(1000.0, true);
     let while_ignoring = attempts_at_backend_2(6000.0, true);
-    assert!(while_ignoring[1] <= 1 && while_ignoring[0] > 50, "sent there of each class: {while_ignoring:?}");
+    assert!(
+        while_ignoring[1] <= 1 && while_ignoring[0] > 50,
+        "attempts by class at the backend that ignores class 1: {while_ignoring:?}"
+    );
     attempts_at_backend_2(20_000.0, false);
     let back = attempts_at_backend_2(3000.0, false);
-    assert!(back[1] > 20, "not taken back: {back:?}");
+    assert!(back[1] > 20, "the backend is not restored: {back:?}");
 }
 
-/// Backends that fell silent bring nothing to the limit while they are left: their return, cold, takes nothing away.
+/// Guards against a limit that falls when ejected backends return in slow start. They add nothing to the
+/// limit while they are ejected, so their return takes nothing away.
 #[test]
 fn return_in_slow_start_does_not_lower_the_limit() {
     let admitted =
@@ -508,10 +544,11 @@
             fill_limit(&mut proxy, 0, 0, 400) - in_flight
         };
     let (before, after) = (admitted(false), admitted(true));
-    assert!(after >= before, "{before} calls admitted before their return, {after} after it");
+    assert!(after >= before, "{before} attempts admitted before their return, {after} after it");
 }
 
-/// A pause looks like a hang. Once all that was out there is answered after all, it waits for no trial.
+/// Guards against a long ejection after a pause, which looks like a hang: once the backend answers all its
+/// attempts in flight, it is restored without waiting for a probe request.
 #[test]
 fn paused_backend_that_answers_is_restored_at_once() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
@@ -527,12 +564,13 @@
             200.0,
             |sent, now_ms| if sent.backend == 2 { None } else { answers_in_50_ms(sent, now_ms) },
         );
-    assert_eq!(left.get(&2), None, "not left: {left:?}");
+    assert_eq!(left.get(&2), None, "not ejected: {left:?}");
     let back = run_for(&mut proxy, 300.0, answers_in_50_ms);
-    assert!(back.get(&2).copied().unwrap_or(0) > 2, "not taken back: {back:?}");
+    assert!(back.get(&2).copied().unwrap_or(0) > 2, "the backend is not restored: {back:?}");
 }
 
-/// Calls that were out before a backend was left are no trials: their errors must not lengthen its absence.
+/// Guards against an ejection that is prolonged by late errors: attempts sent before the ejection are no
+/// probe requests.
 #[test]
 fn late_errors_do_not_prolong_an_ejection() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
@@ -542,18 +580,20 @@
         1000.0,
         |sent, now_ms| if sent.backend == 2 { None } else { answers_in_50_ms(sent, now_ms) },
     );
-    // It has been left for its silence, for two seconds. What was out there fails now, one after another.
+    // The backend is ejected as unresponsive, for two seconds. Its attempts in flight now fail one after
+    // another.
     let stuck: Vec<_> =
         proxy.attempts_in_flight().into_iter().filter(|(_, _, sent)| sent.backend == 2).collect();
-    assert!(stuck.len() >= 3, "{} calls out there", stuck.len());
+    assert!(stuck.len() >= 3, "{} attempts in flight at the backend", stuck.len());
     stuck
         .into_iter()
         .for_each(|(request, attempt, _)| proxy.finish_attempt(request, attempt, Outcome::Error));
     run_for(&mut proxy, 4000.0, answers_in_50_ms);
     let back = run_for(&mut proxy, 1000.0, answers_in_50_ms);
-    assert!(back.get(&2).copied().unwrap_or(0) > 5, "not taken back: {back:?}");
+    assert!(back.get(&2).copied().unwrap_or(0) > 5, "the backend is not restored: {back:?}");
 }
 
+/// Guards against a backend that attracts requests because it fails fast.
 #[test]
 fn fast_failing_backend_is_ejected_and_restored() {
     let fails_at_2 = |sent: &SentAttempt, now_ms: f64| {
@@ -563,13 +603,16 @@
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     run_for(&mut proxy, 1000.0, fails_at_2);
     let failing = run_for(&mut proxy, 2000.0, fails_at_2);
-    assert!(failing.get(&2).copied().unwrap_or(0) <= 3, "sent on to a failing backend: {failing:?}");
+    assert!(
+        failing.get(&2).copied().unwrap_or(0) <= 3,
+        "the failing backend still gets attempts: {failing:?}"
+    );
     run_for(&mut proxy, 30_000.0, answers_in_50_ms);
     let back = run_for(&mut proxy, 3000.0, answers_in_50_ms);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "not taken back: {back:?}");
+    assert!(back.get(&2).copied().unwrap_or(0) > 20, "the backend is not restored: {back:?}");
 }
 
-/// A trouble shared by all is nobody's illness: the fleet is not emptied.
+/// Guards against the ejection of all backends: errors that all of them return make none an outlier.
 #[test]
 fn errors_at_all_backends_eject_none() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
@@ -578,11 +621,12 @@
         |sent: &SentAttempt, now_ms: f64| answers_in_50_ms(sent, now_ms).map(|_| Outcome::Error);
     run_for(&mut proxy, 4000.0, error_everywhere);
     let attempts = run_for(&mut proxy, 4000.0, error_everywhere);
-    assert!(attempts.len() >= 7, "left in service: {attempts:?}");
+    assert!(attempts.len() >= 7, "backends in service: {attempts:?}");
 }
 
-/// Incident ie57de5: a third of the fleet silent. The common error rate holds the dead third itself, and must
-/// not raise the bar of illness past reach; nor may their failed connections cut the limit.
+/// Guards against a failed third of the backends that stays in service. The mean error rate includes the
+/// failed third and must not raise the ejection threshold out of reach; nor may their failed connections cut
+/// the limit.
 #[test]
 fn failed_third_of_the_backends_is_ejected() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(9));
@@ -598,11 +642,11 @@
     let attempts = run_for(&mut proxy, 4000.0, fails_at_a_third);
     let wasted: usize = (1..=3).filter_map(|b| attempts.get(&b)).sum();
     let all: usize = attempts.values().sum();
-    assert!(wasted * 20 < all, "{wasted} of {all} sent to the dead third");
-    assert!(all > 700, "the limit was cut: {all} sends in 4 s");
+    assert!(wasted * 20 < all, "{wasted} of {all} attempts sent to the failed third");
+    assert!(all > 700, "the limit was cut: {all} attempts in 4 s");
 }
 
-/// An instance with little evidence ejects nobody on one or two samples.
+/// Guards against an ejection on one or two samples at an instance with little traffic.
 #[test]
 fn two_errors_eject_no_backend() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(6));
@@ -625,10 +669,14 @@
     }
     assert_eq!(errors_left, 0);
     let attempts = run_for(&mut proxy, 4000.0, answers_in_50_ms);
-    assert!(attempts.get(&2).copied().unwrap_or(0) > 20, "ejected on two errors: {attempts:?}");
+    assert!(
+        attempts.get(&2).copied().unwrap_or(0) > 20,
+        "the backend was ejected after two errors: {attempts:?}"
+    );
 }
 
-/// Repeats of what may have run are a share of the traffic: a failing fleet is not stormed.
+/// Guards against a retry storm on a failing fleet: retries of requests that may have run are limited to a
+/// share of the traffic.
 #[test]
 fn retries_are_a_bounded_share_of_requests() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
@@ -648,7 +696,7 @@
     assert!(attempts * 10 <= requests * 12, "{attempts} attempts for {requests} requests that all fail");
 }
 
-/// Polls fail: repeated, later and later, and not by all instances at the same moment.
+/// Guards against failed polls that are retried without backoff, or by all instances at the same time.
 #[test]
 fn failed_polls_are_retried_with_backoff_and_jitter() {
     let poll_times = |seed| {
@@ -665,36 +713,40 @@
                 proxy.update_endpoints(EndpointListKind::Failed, vec![]);
             }
         }
-        assert!(proxy.polled_at_ms.len() > 6, "given up after {:?}", proxy.polled_at_ms);
+        assert!(proxy.polled_at_ms.len() > 6, "polling stopped after the polls at {:?}", proxy.polled_at_ms);
         proxy.polled_at_ms
     };
     let (a, b) = (poll_times(1), poll_times(2));
-    assert!(a[0] - 1000.0 < 10_000.0, "first asked within the time that is due");
-    assert!(a[5] - a[4] > a[1] - a[0], "no backing off: {a:?}");
-    assert!(a.iter().zip(&b).all(|(x, y)| (x - y).abs() > 1.0), "in step: {a:?} {b:?}");
+    assert!(a[0] - 1000.0 < 10_000.0, "the first poll is late");
+    assert!(a[5] - a[4] > a[1] - a[0], "no backoff: {a:?}");
+    assert!(a.iter().zip(&b).all(|(x, y)| (x - y).abs() > 1.0), "polls at the same times: {a:?} {b:?}");
 }
 
-/// How long an instance waits before its first poll, and after each of so many that fail at once.
+/// Returns the delay before the first poll of an instance, and after each of `failures` polls that fail at
+/// once.
 fn poll_delays_ms(poll_within_ms: f64, seed: u64, failures: usize) -> Vec<f64> {
     let mut settings = Settings { discovery_mode: DiscoveryMode::Poll, ..single_class_settings(4) };
     settings.guarantees.poll_within_ms = poll_within_ms;
-    let mut balancer = Balancer::new(settings, seed).expect("settings are sound");
+    let mut balancer = Balancer::new(settings, seed).expect("valid settings");
     let (mut now_ms, mut kind, mut delays_ms) = (1000.0, EndpointListKind::Cached, Vec::new());
     for _ in 0..=failures {
         let mut actions = Vec::new();
         balancer.handle(now_ms, Event::EndpointList { kind, endpoints: vec![] }, &mut actions);
-        // The first event asks for a timer of another kind, too.
-        let Some(Action::SetTimer { delay_ms, token }) = actions.pop() else { panic!("a timer") };
+        // The first event also sets another timer, so the last action is the poll timer.
+        let Some(Action::SetTimer { delay_ms, token }) = actions.pop() else {
+            panic!("no poll timer is set")
+        };
         now_ms += delay_ms;
         balancer.handle(now_ms, Event::TimerFired { token }, &mut actions);
-        assert!(actions.contains(&Action::PollEndpoints), "the timer is that of the call");
+        assert!(actions.contains(&Action::PollEndpoints), "the timer does not start a poll");
         (kind, _) = (EndpointListKind::Failed, delays_ms.push(delay_ms));
     }
     delays_ms
 }
 
-/// What discovery has counts as told 6 s after it could be reached, however many calls failed before: a third of
-/// that is the most that passes between two calls, and no more than the time in which asking is due.
+/// Guards against poll backoff that delays an update. A change counts as notified 6 s after discovery can be
+/// reached, so the delay between polls is at most a third of that, and at most the poll interval in the
+/// settings.
 #[test]
 fn poll_delay_is_a_third_of_the_deadline_at_most() {
     for poll_within_ms in [100.0, 300.0, 1000.0, 2000.0, 5000.0, 10_000.0, 60_000.0, 3_600_000.0] {
@@ -705,7 +757,7 @@
                 delays_ms.iter().all(|&delay_ms| delay_ms > 0.0 && delay_ms <= longest),
                 "{poll_within_ms} {seed}: {delays_ms:?}"
             );
-            // What keeps failing is asked at most twice in the longest pause.
+            // After repeated failures there are at most two polls in the longest delay.
             assert!(
                 delays_ms[3..].iter().all(|&delay_ms| delay_ms >= longest / 2.0),
                 "{poll_within_ms} {seed}: {delays_ms:?}"
@@ -714,8 +766,9 @@
     }
 }
 
-/// 720 instances that start, or failed together, do not call together: no tenth of the longest of their pauses holds
-/// more than three in ten of their calls, and each makes at most one call in 0.7 of the longest pause, in the mean.
+/// Guards against synchronized polls of 720 instances that start, or see a poll fail, at the same time. No
+/// tenth of their longest delay has more than three in ten polls; from the third poll on, the mean delay
+/// exceeds 0.7 of the maximum.
 #[test]
 fn polls_of_many_instances_are_spread_out() {
     for poll_within_ms in [300.0, 10_000.0] {
@@ -728,15 +781,16 @@
                 (0..720).map(|i| waits[i..].iter().take_while(|&&w| w < waits[i] + tenth).count()).max();
             assert!(
                 most < Some(720 * 3 / 10),
-                "{poll_within_ms}, failure {failures}: {most:?} calls together"
+                "{poll_within_ms}, failure {failures}: {most:?} polls within a tenth of the longest delay"
             );
             let mean = waits.iter().sum::<f64>() / 720.0;
             let longest = f64::min(poll_within_ms, NOTIFICATION_DEADLINE_MS / 3.0);
-            assert!(failures < 2 || mean > 0.7 * longest, "{poll_within_ms}: a mean pause of {mean} ms");
+            assert!(failures < 2 || mean > 0.7 * longest, "{poll_within_ms}: mean delay {mean} ms");
         }
     }
 }
 
+/// Guards against an error that does not name the invalid setting.
 #[test]
 fn invalid_settings_error_names_the_field() {
     type Change = fn(&mut Settings);
@@ -751,14 +805,15 @@
     for (field, change) in cases {
         let mut settings = single_class_settings(2);
         change(&mut settings);
-        let error = Balancer::new(settings, 1).err().expect("turned down");
+        let error = Balancer::new(settings, 1).err().expect("rejected settings");
         assert_eq!(error.field, field);
         assert!(error.to_string().contains(field));
     }
 }
 
-/// Two classes of one priority weight share a slice: in a full queue neither may outlive the other (seen on the bench:
-/// 0.62 of one class served and 0.89 of the other, from one slice, for a longer objective).
+/// Guards against an unfair queue: two classes of the same priority weight share a slice, and in a full queue
+/// a longer latency objective must not let requests wait longer than others. Otherwise 0.62 of one class and
+/// 0.89 of the other are served.
 #[test]
 fn longer_objective_gets_no_more_of_a_shared_slice() {
     let classes =
@@ -776,10 +831,14 @@
         }
         proxy.forget_finished_requests();
     }
-    assert!(served[1] * 4 < served[0] * 5 && served[0] * 4 < served[1] * 5, "served by class: {served:?}");
+    assert!(
+        served[1] * 4 < served[0] * 5 && served[0] * 4 < served[1] * 5,
+        "requests served by class: {served:?}"
+    );
 }
 
-/// Work past its tenant's quota has no claim under overload: one slot is all it keeps.
+/// Guards against requests over the quota that take slots from others under overload: they keep only one
+/// slot.
 #[test]
 fn requests_over_quota_keep_one_slot() {
     let mut settings = single_class_settings(1);
@@ -788,11 +847,12 @@
     let mut proxy = ProxyHarness::new(settings, 1, endpoints(10));
     let within = fill_limit(&mut proxy, 0, 1, 400);
     let demoted = fill_limit(&mut proxy, 0, 0, 100) - within;
-    assert_eq!(demoted, 1, "beside {within} calls within quota");
+    assert_eq!(demoted, 1, "beside {within} attempts within the quota");
 }
 
-/// Incident ic969f0: overdriven backends stay slow until they are left alone for seconds; a trickle keeps
-/// them so. One far slower than its fellows is left, and comes back by a quick trial.
+/// Guards against an overloaded backend that never recovers: it stays slow while it gets even a few requests,
+/// and needs seconds without any. One that is much slower than the others is ejected, and restored by a fast
+/// probe request.
 #[test]
 fn much_slower_backend_is_ejected_to_recover() {
     let slow_at_2 = |sent: &SentAttempt, now_ms: f64| {
@@ -809,13 +869,14 @@
         let quiet_rounds = if is_quiet { quiet_rounds + 1 } else { 0 };
         (quiet_rounds, longest.max(quiet_rounds))
     });
-    assert!(quiet.1 >= 6, "never left alone for 1.5 s: {quiet:?}");
+    assert!(quiet.1 >= 6, "never without requests for 1.5 s: {quiet:?}");
     run_for(&mut proxy, 30_000.0, answers_in_50_ms);
     let back = run_for(&mut proxy, 3000.0, answers_in_50_ms);
-    assert!(back.get(&2).copied().unwrap_or(0) > 20, "not taken back: {back:?}");
+    assert!(back.get(&2).copied().unwrap_or(0) > 20, "the backend is not restored: {back:?}");
 }
 
-/// The share of an instance's last calls that left its zone, where answers take `near` ms and 50 ms beyond.
+/// Returns the share of attempts that leave the zone when its backends answer in `near_ms` and all others in
+/// 50 ms.
 fn cross_zone_share_after_overload(price: f64, near_ms: f64) -> f64 {
     let mut proxy = proxy_in_two_zones(price);
     run_for(&mut proxy, 4000.0, answers_in_50_ms);
@@ -826,17 +887,25 @@
     cross_zone_share(&run_for(&mut proxy, 2000.0, answer))
 }
 
-/// Where crossing zones has a price calls stay, until the zone's own latency costs more than the crossing.
+/// Guards against cross-zone traffic that gains nothing: with a price on crossing zones, attempts stay in the
+/// zone until its extra latency costs more than that price.
 #[test]
 fn attempts_cross_zones_only_for_more_than_the_price() {
-    assert_eq!(cross_zone_share_after_overload(0.2, 50.0), 0.0, "nothing is gained by leaving");
+    assert_eq!(
+        cross_zone_share_after_overload(0.2, 50.0),
+        0.0,
+        "attempts left a zone that is as fast as the others"
+    );
     let overloaded = cross_zone_share_after_overload(0.2, 700.0);
-    assert!(overloaded > 0.5, "{overloaded} left a zone that is 0.65 of the aim slower");
+    assert!(overloaded > 0.5, "{overloaded} left a zone that is slower by 0.65 of the latency objective");
     let cheap = cross_zone_share_after_overload(0.0, 50.0);
-    assert!((0.3..0.7).contains(&cheap), "{cheap} left where crossing is free: all zones are one pool");
+    assert!(
+        (0.3..0.7).contains(&cheap),
+        "{cheap} left the zone where crossing is free and all zones are one pool"
+    );
 }
 
-/// Two zones of five, the instance in the first; answers take what `near` says there and 50 ms beyond.
+/// Returns an instance in the first of two zones, with five backends in each.
 fn proxy_in_two_zones(price: f64) -> ProxyHarness {
     let mut settings = single_class_settings(1);
     settings.objective.cross_zone_price = price;
@@ -845,13 +914,14 @@
     ProxyHarness::new(settings, 1, zones)
 }
 
+/// Returns the share of attempts that went to backends outside the zone.
 fn cross_zone_share(attempts: &BTreeMap<BackendId, usize>) -> f64 {
     let far: usize = attempts.iter().filter(|(b, _)| **b > 5).map(|(_, n)| n).sum();
     far as f64 / attempts.values().sum::<usize>().max(1) as f64
 }
 
-/// Incident idf6b26: a zone that was left altogether sends no answers, and its last bad estimate must not keep
-/// calls away for good.
+/// Guards against a zone that is avoided forever: without attempts there are no responses, and the last high
+/// latency estimate must not keep attempts away.
 #[test]
 fn abandoned_zone_is_probed_again() {
     let mut proxy = proxy_in_two_zones(0.2);
@@ -861,13 +931,14 @@
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     run_for(&mut proxy, 15_000.0, slow_in_zone);
     let left = cross_zone_share(&run_for(&mut proxy, 2000.0, slow_in_zone));
-    assert!(left > 0.8, "{left} beyond a zone that takes 1.8 aims");
+    assert!(left > 0.8, "{left} left a zone that answers in 1.8 times the latency objective");
     run_for(&mut proxy, 60_000.0, answers_in_50_ms);
     let back = cross_zone_share(&run_for(&mut proxy, 2000.0, answers_in_50_ms));
-    assert!(back < 0.1, "{back} still beyond, a minute after the zone is well");
+    assert!(back < 0.1, "{back} still leave the zone a minute after it recovered");
 }
 
-/// Seen on the bench: clients leave before slow answers come. What they left counts as slow for its zone.
+/// Guards against a slow zone that looks fast because clients disconnect before its slow responses arrive:
+/// abandoned attempts count as slow for their zone.
 #[test]
 fn attempts_abandoned_by_clients_count_as_slow() {
     let mut proxy = proxy_in_two_zones(0.2);
@@ -878,7 +949,7 @@
         proxy.advance_to(proxy.now_ms + 5.0);
         for (request, attempt, sent) in proxy.attempts_in_flight() {
             let is_open = proxy.requests[&request].ended.is_none();
-            // A third of the zone's answers come quickly: it is not silent.
+            // A third of the responses in the zone are fast, so its backends are not unresponsive.
             if (sent.backend > 5 || request % 3 == 0) && proxy.now_ms - sent.sent_at_ms >= 50.0 {
                 proxy.finish_attempt(request, attempt, Outcome::Ok);
             } else if is_open && sent.backend <= 5 && proxy.now_ms - sent.sent_at_ms >= 900.0 {
@@ -890,10 +961,11 @@
         }
         proxy.forget_finished_requests();
     }
-    assert!(far * 2 > all, "{far} of {all} calls leave a zone whose clients all give up");
+    assert!(far * 2 > all, "{far} of {all} attempts leave a zone whose clients disconnect");
 }
 
-/// Hamilton's overloaded day: an instance with few calls must not take a jam for its baseline, however early.
+/// Guards against a latency baseline learned under overload: an instance that has seen few responses must not
+/// take an early overload as normal.
 #[test]
 fn early_overload_is_not_taken_as_the_baseline() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(5));
@@ -910,20 +982,20 @@
     }
     assert!(
         proxy.attempts_in_flight().len() < start,
-        "{start} calls at first, {} after answers at 0.7 aims",
+        "{start} attempts in flight at first, {} after responses at 0.7 of the objective",
         proxy.attempts_in_flight().len()
     );
 }
 
-/// Incident idc7037: answers get lost while those that come are quick. Time-outs alone must not cut the limit to
-/// nothing, nor may lost calls pin its slots until their deadline.
+/// Guards against a limit that collapses when some responses are lost and the others are fast: timeouts alone
+/// must not cut the limit to nothing, nor may lost attempts hold their slots until the deadline.
 #[test]
 fn lost_responses_do_not_cut_the_limit() {
     let mut proxy =
         ProxyHarness::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, endpoints(8));
     let answer = |sent: &SentAttempt, now_ms: f64| (now_ms - sent.sent_at_ms >= 150.0).then_some(Outcome::Ok);
     run_for(&mut proxy, 6000.0, answer);
-    // One answer in six never comes, wherever the call went.
+    // One response in six is lost, at any backend.
     let lossy = |sent: &SentAttempt, now_ms: f64| {
         if ((sent.sent_at_ms / 5.0) as u64).is_multiple_of(6) { None } else { answer(sent, now_ms) }
     };
@@ -932,7 +1004,8 @@
     assert!(sent * 10 > 6000 * 9, "{sent} of 6000 requests sent");
 }
 
-/// A call that is out for many times its class's mean is lost or stuck: it pins no slot until its deadline.
+/// Guards against lost attempts that hold slots until their deadline. An attempt in flight for several times
+/// the mean latency of its class counts as lost.
 #[test]
 fn unresponsive_attempts_release_their_slots() {
     let mut proxy =
@@ -940,17 +1013,22 @@
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     let first = fill_limit(&mut proxy, 0, 0, 400);
     proxy.advance_to(proxy.now_ms + 150.0);
-    assert_eq!(fill_limit(&mut proxy, 0, 0, 400), first, "three means: still in the queue, perhaps");
+    assert_eq!(
+        fill_limit(&mut proxy, 0, 0, 400),
+        first,
+        "attempts may still be queued at the backend after three mean latencies"
+    );
     proxy.advance_to(proxy.now_ms + 150.0);
     assert!(
         fill_limit(&mut proxy, 0, 0, 400) >= 2 * first,
-        "six means: {} calls out, {first} at first",
+        "{} attempts in flight after six mean latencies, {first} at first",
         proxy.attempts_in_flight().len()
     );
 }
 
-/// What the operators leave out gets nothing, whatever lists say, until one call back; then it is cold, and in use
-/// again soon. That nothing goes to it meanwhile is checked with each action.
+/// Guards against a suspended backend that gets requests because an endpoint list names it again. One resume
+/// event ends the suspension; slow start follows. The harness checks that no attempt goes to a suspended
+/// backend.
 #[test]
 fn suspended_backend_gets_nothing_until_resumed() {
     let mut proxy =
@@ -970,7 +1048,7 @@
         }
     };
     serve_until(&mut proxy, 5000.0);
-    assert!(attempts_since(&proxy, 0.0) > 20, "it is in use");
+    assert!(attempts_since(&proxy, 0.0) > 20, "the backend is not in use");
     for _ in 0..2 {
         proxy.handle(Event::SetSuspended { backend: 2, is_suspended: true });
     }
@@ -986,27 +1064,28 @@
         let end_ms = proxy.now_ms + 500.0;
         serve_until(&mut proxy, end_ms);
     }
-    // Alone with it there is nobody to send to.
+    // A list with only the suspended backend leaves none to send to.
     proxy.update_endpoints(EndpointListKind::Full, vec![endpoint(2)]);
     let request = proxy.submit_request(0, 0, 900.0);
     proxy.advance_to(proxy.now_ms + 1000.0);
     assert!(proxy.requests[&request].ended.is_some_and(|(_, how)| how == "rejected"));
     proxy.update_endpoints(EndpointListKind::Full, endpoints(3));
     assert_eq!(attempts_since(&proxy, 5000.0), 0);
-    // The list does not know yet that it was restarted.
+    // The endpoint list still has the old start time of the backend.
     let back = proxy.now_ms;
     proxy.handle(Event::SetSuspended { backend: 2, is_suspended: false });
-    assert!(proxy.suspended.is_empty(), "one call back undoes both");
+    assert!(proxy.suspended.is_empty(), "one resume event ends two suspensions");
     serve_until(&mut proxy, back + 1000.0);
     let cold = attempts_since(&proxy, back);
     serve_until(&mut proxy, back + 5000.0);
     assert!(
         (1..8).contains(&cold) && attempts_since(&proxy, back) > cold,
-        "{cold}, then {}",
+        "{cold} attempts in the first second, {} in five",
         attempts_since(&proxy, back)
     );
 }
 
+/// Guards against a repeated drain or activate event that acts twice.
 #[test]
 fn repeated_drain_events_act_once() {
     let mut proxy =
@@ -1016,10 +1095,11 @@
     }
     assert_eq!(proxy.drain_changes, [true, false]);
     proxy.submit_request(0, 0, 900.0);
-    assert_eq!(proxy.attempts_in_flight().len(), 1, "requests go on");
+    assert_eq!(proxy.attempts_in_flight().len(), 1, "an active instance does not send requests");
 }
 
-/// Two processes that act as one instance are one proxy to a backend that is warming up: each sends it half.
+/// Guards against two processes of one instance that each send a backend in slow start the full budget: each
+/// gets half.
 #[test]
 fn processes_share_a_slow_start_budget() {
     let attempts_at_2 = |process_count: u32| {
@@ -1051,33 +1131,37 @@
             .count()
     };
     let (alone, shared) = (attempts_at_2(1), attempts_at_2(2));
-    assert!(alone >= 20 && (alone * 4 / 10..=alone * 6 / 10).contains(&shared), "{alone} and {shared}");
+    assert!(
+        alone >= 20 && (alone * 4 / 10..=alone * 6 / 10).contains(&shared),
+        "{alone} attempts from a single process, {shared} from one of two"
+    );
 }
 
-/// However slowly it is written, a request takes none of the limit before its last byte has come; then it does.
+/// Guards against slow uploads that fill the limit: a request takes a slot only after its last byte has
+/// arrived.
 #[test]
 fn streamed_request_takes_no_slot_until_its_end() {
     let mut proxy =
         ProxyHarness::new(settings(1, vec![class(400.0, 1.0, Idempotency::NonIdempotent)]), 5, endpoints(2));
     let streamed: Vec<RequestId> = (0..100).map(|_| proxy.submit_streamed_request(0, 60_000.0)).collect();
-    assert_eq!(proxy.attempts_in_flight().len(), 100, "all are sent on");
-    // Nothing is missed of a backend that has not been given the whole of it.
+    assert_eq!(proxy.attempts_in_flight().len(), 100, "all requests are sent");
+    // A backend is not unresponsive while it has not received the whole request.
     proxy.advance_to(proxy.now_ms + 5000.0);
     let short = proxy.submit_request(0, 0, 900.0);
-    assert_eq!(proxy.requests[&short].attempts.len(), 1, "there is room");
+    assert_eq!(proxy.requests[&short].attempts.len(), 1, "the limit has a free slot");
     proxy.finish_attempt(short, 0, Outcome::Ok);
     let deadline_ms = proxy.now_ms + 900.0;
     streamed.iter().for_each(|&request| proxy.handle(Event::BodyReceived { request, deadline_ms }));
     let late = proxy.submit_request(0, 0, 900.0);
-    assert_eq!(proxy.requests[&late].attempts.len(), 0, "now they fill the limit");
-    // What went with its attempt is not sent again, though it never ran.
+    assert_eq!(proxy.requests[&late].attempts.len(), 0, "the finished uploads fill the limit");
+    // A body that was consumed with its attempt cannot be sent again, although the request never ran.
     proxy.finish_consumed_attempt(streamed[0], 0, Outcome::Full);
     assert!(proxy.requests[&streamed[0]].ended.is_some_and(|(_, how)| how == "rejected"));
     assert_eq!(proxy.requests[&streamed[0]].attempts.len(), 1);
 }
 
-/// A backend that was in use before it was suspended is in use again when it is back, though less load has made the
-/// subset narrower since.
+/// Guards against a resumed backend that stays unused because the subset has become narrower at lower load
+/// since its suspension.
 #[test]
 fn resumed_backend_returns_to_its_former_subset() {
     let serve_until = |proxy: &mut ProxyHarness, end_ms: f64, requests_per_tick: usize| {
@@ -1100,10 +1184,16 @@
             5,
             endpoints(30),
         );
-        assert!(serve_until(&mut proxy, 2000.0, 40).contains(&backend), "under load all are in use");
+        assert!(
+            serve_until(&mut proxy, 2000.0, 40).contains(&backend),
+            "backend {backend} is not used under load"
+        );
         proxy.handle(Event::SetSuspended { backend, is_suspended: true });
         assert!(!serve_until(&mut proxy, 32_000.0, 1).contains(&backend));
         proxy.handle(Event::SetSuspended { backend, is_suspended: false });
-        assert!(serve_until(&mut proxy, 37_000.0, 1).contains(&backend), "{backend} is left unused");
+        assert!(
+            serve_until(&mut proxy, 37_000.0, 1).contains(&backend),
+            "backend {backend} is not used after it was resumed"
+        );
     }
 }
