--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -37,8 +37,8 @@
 #[test]
 fn used_limit_grows_while_responses_are_fast() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
-    let start = fill_limit(&mut proxy, 0, 0, 400);
-    assert!(start >= 30, "the initial limit of {start} rejects what ten idle backends could serve");
+    let initial = fill_limit(&mut proxy, 0, 0, 400);
+    assert!(initial >= 30, "the initial limit of {initial} rejects what ten idle backends could serve");
     for _ in 0..200 {
         proxy.advance_to(proxy.now_ms + 50.0);
         proxy
@@ -49,23 +49,26 @@
         fill_limit(&mut proxy, 0, 0, 400);
     }
     let grown = proxy.attempts_in_flight().len();
-    assert!(grown >= 4 * start, "{start} attempts in flight at first, {grown} after 10 s of fast responses");
+    assert!(
+        grown >= 4 * initial,
+        "{initial} attempts in flight at first, {grown} after 10 s of fast responses"
+    );
 }
 
 /// Guards against a limit that drifts while an instance is idle.
 #[test]
 fn unused_limit_stays() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
-    let start = fill_limit(&mut ProxyHarness::new(single_class_settings(1), 1, endpoints(10)), 0, 0, 400);
+    let initial = fill_limit(&mut ProxyHarness::new(single_class_settings(1), 1, endpoints(10)), 0, 0, 400);
     proxy.serve_steadily(10_000.0, 1, 0, 10.0);
     let after = fill_limit(&mut proxy, 0, 0, 400);
-    assert!(after <= start + 1, "limit {start} at first, {after} after a time of low load");
+    assert!(after <= initial + 1, "limit {initial} at first, {after} after a time of low load");
 }
 
 /// Guards against a limit that shrinks a little each time a release removes a backend and adds it again.
 #[test]
 fn limit_survives_backends_that_leave_and_return() {
-    let start = fill_limit(&mut ProxyHarness::new(single_class_settings(1), 1, endpoints(10)), 0, 0, 400);
+    let initial = fill_limit(&mut ProxyHarness::new(single_class_settings(1), 1, endpoints(10)), 0, 0, 400);
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
     for removed in 1..=10 {
         let remaining: Vec<EndpointInfo> =
@@ -73,7 +76,7 @@
         proxy.update_endpoints(EndpointListKind::Full, remaining);
         proxy.update_endpoints(EndpointListKind::Full, endpoints(10));
     }
-    assert_eq!(fill_limit(&mut proxy, 0, 0, 400), start);
+    assert_eq!(fill_limit(&mut proxy, 0, 0, 400), initial);
 }
 
 /// Guards against a limit that ignores overload: slow responses, or a third of the attempts rejected by
@@ -102,7 +105,7 @@
 #[test]
 fn few_fast_responses_do_not_raise_the_limit() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
-    let start = fill_limit(&mut proxy, 0, 0, 400);
+    let initial = fill_limit(&mut proxy, 0, 0, 400);
     for _ in 0..40 {
         proxy.advance_to(proxy.now_ms + 50.0);
         // Only the newest attempt finishes; all others stay in flight.
@@ -111,7 +114,7 @@
         }
     }
     let after = fill_limit(&mut proxy, 0, 0, 400);
-    assert!(after <= start + 1, "limit {start} at first, {after} after a few fast responses");
+    assert!(after <= initial + 1, "limit {initial} at first, {after} after a few fast responses");
 }
 
 /// Guards against a limit that stays high after the tier shrinks, until the latency rises.
@@ -190,10 +193,10 @@
 /// longer for the same work without having a queue.
 #[test]
 fn backends_slow_from_warm_up_stay_in_service() {
-    let attempts_at_new_backends = |is_cold: bool| {
+    let attempts_at_new_backends = |is_warming_up: bool| {
         let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(4));
         proxy.serve_steadily(5000.0, 1, 0, 100.0);
-        let started_at_ms = if is_cold { proxy.now_ms } else { 0.0 };
+        let started_at_ms = if is_warming_up { proxy.now_ms } else { 0.0 };
         proxy.update_endpoints(
             EndpointListKind::Delta,
             (5..=12).map(|b| EndpointInfo { started_at_ms, ..endpoint(b) }).collect(),
@@ -210,7 +213,7 @@
                         && sent.sent_at_ms >= start_ms + 3000.0,
                 );
                 if proxy.now_ms - sent.sent_at_ms
-                    >= if is_cold && sent.backend >= 5 { 100.0 / warm_up_fraction } else { 100.0 }
+                    >= if is_warming_up && sent.backend >= 5 { 100.0 / warm_up_fraction } else { 100.0 }
                 {
                     proxy.finish_attempt(request, attempt, Outcome::Ok);
                 }
@@ -219,8 +222,8 @@
         }
         attempts
     };
-    let (warm, cold) = (attempts_at_new_backends(false), attempts_at_new_backends(true));
-    assert!(cold * 5 >= warm, "{cold} attempts at backends in slow start, {warm} at warm ones");
+    let (warm, warming_up) = (attempts_at_new_backends(false), attempts_at_new_backends(true));
+    assert!(warming_up * 5 >= warm, "{warming_up} attempts at backends in slow start, {warm} at warm ones");
 }
 
 /// Guards against a limit that counts backends in slow start in full. They can only take part of that, and
@@ -232,8 +235,8 @@
     let growth = |age_ms: f64| {
         let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
         let started_at_ms = proxy.now_ms;
-        let cold = (11..=20).map(|b| EndpointInfo { started_at_ms, ..endpoint(b) });
-        proxy.update_endpoints(EndpointListKind::Delta, cold.collect());
+        let new_endpoints = (11..=20).map(|b| EndpointInfo { started_at_ms, ..endpoint(b) });
+        proxy.update_endpoints(EndpointListKind::Delta, new_endpoints.collect());
         proxy.advance_to(proxy.now_ms + age_ms);
         fill_limit(&mut proxy, 0, 0, 400) as f64 / before
     };
@@ -880,11 +883,11 @@
 fn cross_zone_share_after_overload(price: f64, near_ms: f64) -> f64 {
     let mut proxy = proxy_in_two_zones(price);
     run_for(&mut proxy, 4000.0, answers_in_50_ms);
-    let answer = |sent: &SentAttempt, now_ms: f64| {
+    let outcome_of = |sent: &SentAttempt, now_ms: f64| {
         (now_ms - sent.sent_at_ms >= if sent.backend <= 5 { near_ms } else { 50.0 }).then_some(Outcome::Ok)
     };
-    run_for(&mut proxy, 8000.0, answer);
-    cross_zone_share(&run_for(&mut proxy, 2000.0, answer))
+    run_for(&mut proxy, 8000.0, outcome_of);
+    cross_zone_share(&run_for(&mut proxy, 2000.0, outcome_of))
 }
 
 /// Guards against cross-zone traffic that gains nothing: with a price on crossing zones, attempts stay in the
@@ -970,7 +973,7 @@
 fn early_overload_is_not_taken_as_the_baseline() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(5));
     proxy.serve_steadily(100.0, 1, 0, 40.0);
-    let start = fill_limit(&mut proxy, 0, 0, 400);
+    let initial = fill_limit(&mut proxy, 0, 0, 400);
     for _ in 0..30 {
         proxy.advance_to(proxy.now_ms + 700.0);
         proxy
@@ -981,8 +984,8 @@
         fill_limit(&mut proxy, 0, 0, 100);
     }
     assert!(
-        proxy.attempts_in_flight().len() < start,
-        "{start} attempts in flight at first, {} after responses at 0.7 of the objective",
+        proxy.attempts_in_flight().len() < initial,
+        "{initial} attempts in flight at first, {} after responses at 0.7 of the objective",
         proxy.attempts_in_flight().len()
     );
 }
@@ -993,11 +996,12 @@
 fn lost_responses_do_not_cut_the_limit() {
     let mut proxy =
         ProxyHarness::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, endpoints(8));
-    let answer = |sent: &SentAttempt, now_ms: f64| (now_ms - sent.sent_at_ms >= 150.0).then_some(Outcome::Ok);
-    run_for(&mut proxy, 6000.0, answer);
+    let outcome_of =
+        |sent: &SentAttempt, now_ms: f64| (now_ms - sent.sent_at_ms >= 150.0).then_some(Outcome::Ok);
+    run_for(&mut proxy, 6000.0, outcome_of);
     // One response in six is lost, at any backend.
     let lossy = |sent: &SentAttempt, now_ms: f64| {
-        if ((sent.sent_at_ms / 5.0) as u64).is_multiple_of(6) { None } else { answer(sent, now_ms) }
+        if ((sent.sent_at_ms / 5.0) as u64).is_multiple_of(6) { None } else { outcome_of(sent, now_ms) }
     };
     let attempts = run_for(&mut proxy, 30_000.0, lossy);
     let sent: usize = attempts.values().sum();
@@ -1068,7 +1072,7 @@
     proxy.update_endpoints(EndpointListKind::Full, vec![endpoint(2)]);
     let request = proxy.submit_request(0, 0, 900.0);
     proxy.advance_to(proxy.now_ms + 1000.0);
-    assert!(proxy.requests[&request].ended.is_some_and(|(_, how)| how == "rejected"));
+    assert!(proxy.requests[&request].ended.is_some_and(|(_, end)| end == "rejected"));
     proxy.update_endpoints(EndpointListKind::Full, endpoints(3));
     assert_eq!(attempts_since(&proxy, 5000.0), 0);
     // The endpoint list still has the old start time of the backend.
@@ -1076,11 +1080,11 @@
     proxy.handle(Event::SetSuspended { backend: 2, is_suspended: false });
     assert!(proxy.suspended.is_empty(), "one resume event ends two suspensions");
     serve_until(&mut proxy, back + 1000.0);
-    let cold = attempts_since(&proxy, back);
+    let first_second = attempts_since(&proxy, back);
     serve_until(&mut proxy, back + 5000.0);
     assert!(
-        (1..8).contains(&cold) && attempts_since(&proxy, back) > cold,
-        "{cold} attempts in the first second, {} in five",
+        (1..8).contains(&first_second) && attempts_since(&proxy, back) > first_second,
+        "{first_second} attempts in the first second, {} in five",
         attempts_since(&proxy, back)
     );
 }
@@ -1156,7 +1160,7 @@
     assert_eq!(proxy.requests[&late].attempts.len(), 0, "the finished uploads fill the limit");
     // A body that was consumed with its attempt cannot be sent again, although the request never ran.
     proxy.finish_consumed_attempt(streamed[0], 0, Outcome::Full);
-    assert!(proxy.requests[&streamed[0]].ended.is_some_and(|(_, how)| how == "rejected"));
+    assert!(proxy.requests[&streamed[0]].ended.is_some_and(|(_, end)| end == "rejected"));
     assert_eq!(proxy.requests[&streamed[0]].attempts.len(), 1);
 }
 
--- a/crates/balancer/tests/protocol_rules.rs
+++ b/crates/balancer/tests/protocol_rules.rs
@@ -309,11 +309,11 @@
     for instance_index in 0..instance_count {
         let mut settings = settings(instance_count, vec![class(400.0, 1.0, Idempotency::Idempotent)]);
         (settings.instance_index, settings.tenants) = (instance_index, vec![Tenant { quota_per_s: 160.0 }]);
-        let cold = endpoints(backends as u32)
+        let warming_up = endpoints(backends as u32)
             .into_iter()
             .map(|e| EndpointInfo { started_at_ms: 1000.0, ..e })
             .collect();
-        let mut proxy = ProxyHarness::new(settings, u64::from(instance_index), cold);
+        let mut proxy = ProxyHarness::new(settings, u64::from(instance_index), warming_up);
         while proxy.now_ms < 9000.0 {
             proxy.submit_request(0, 0, 1000.0);
             proxy.advance_to(proxy.now_ms + 25.0);
@@ -345,8 +345,8 @@
 fn new_instance_spares_backends_in_slow_start() {
     let mut settings = settings(10, vec![class(400.0, 1.0, Idempotency::Idempotent)]);
     settings.instance_index = 4;
-    let cold = endpoints(10).into_iter().map(|e| EndpointInfo { started_at_ms: 900.0, ..e }).collect();
-    let mut proxy = ProxyHarness::new(settings, 3, cold);
+    let warming_up = endpoints(10).into_iter().map(|e| EndpointInfo { started_at_ms: 900.0, ..e }).collect();
+    let mut proxy = ProxyHarness::new(settings, 3, warming_up);
     for _ in 0..200 {
         proxy.submit_request(0, 0, 1000.0);
     }
--- a/crates/balancer/tests/reconfigure.rs
+++ b/crates/balancer/tests/reconfigure.rs
@@ -24,7 +24,7 @@
 
 /// Returns how a request ended, or `None` while it is open.
 fn end_of(proxy: &ProxyHarness, request: RequestId) -> Option<&'static str> {
-    proxy.requests[&request].ended.map(|(_, how)| how)
+    proxy.requests[&request].ended.map(|(_, end)| end)
 }
 
 /// Returns the number of attempts of a request.
@@ -110,8 +110,8 @@
 /// Guards against open requests that change their class when it is removed and another takes its index.
 #[test]
 fn removed_class_serves_its_open_requests() {
-    let (kept, gone) = (class(1000.0, 1.0, NON_IDEMPOTENT), class(400.0, 5.0, IDEMPOTENT));
-    let mut proxy = ProxyHarness::new(settings_with(vec![gone.clone(), kept.clone()]), 1, endpoints(4));
+    let (kept, removed) = (class(1000.0, 1.0, NON_IDEMPOTENT), class(400.0, 5.0, IDEMPOTENT));
+    let mut proxy = ProxyHarness::new(settings_with(vec![removed.clone(), kept.clone()]), 1, endpoints(4));
     let old = proxy.submit_request(0, 0, 5000.0);
     proxy.configure(settings_with(vec![kept.clone()]), vec![Some(1)], vec![]).expect("valid settings");
     assert_eq!(end_of(&proxy, old), None);
@@ -126,7 +126,7 @@
     proxy.finish_attempt(old, 1, Outcome::Ok);
     assert_eq!(end_of(&proxy, old), Some("served"));
     assert_idle(&proxy);
-    proxy.configure(settings_with(vec![kept, gone]), vec![Some(0), None], vec![]).expect("valid settings");
+    proxy.configure(settings_with(vec![kept, removed]), vec![Some(0), None], vec![]).expect("valid settings");
     assert_eq!(proxy.balancer.gauges().classes, 2, "the record of the removed class is reused");
 }
 
--- a/crates/balancer/tests/support/harness.rs
+++ b/crates/balancer/tests/support/harness.rs
@@ -151,20 +151,23 @@
         if record.key == 0 || !is_ordered(record) {
             return;
         }
-        for (id, earlier) in
+        for (earlier_request, earlier) in
             self.requests.range(..request).filter(|(_, e)| e.key == record.key && is_ordered(e))
         {
-            assert!(earlier.ended.is_some(), "request {request} was sent before request {id} ended");
-            for s in &earlier.attempts {
-                let quarantine_ms = match s.outcome.expect("no attempt of an ended request is in flight") {
+            assert!(
+                earlier.ended.is_some(),
+                "request {request} was sent before request {earlier_request} ended"
+            );
+            for sent in &earlier.attempts {
+                let quarantine_ms = match sent.outcome.expect("no attempt of an ended request is in flight") {
                     Outcome::Timeout | Outcome::Reset | Outcome::Cancelled => {
                         self.settings.guarantees.key_quarantine_ms
                     }
                     _ => 0.0,
                 };
                 assert!(
-                    self.now_ms >= s.finished_at_ms + quarantine_ms,
-                    "request {request} was sent while request {id} may still be running"
+                    self.now_ms >= sent.finished_at_ms + quarantine_ms,
+                    "request {request} was sent while request {earlier_request} may still be running"
                 );
             }
         }
@@ -389,10 +392,10 @@
         is_body_consumed: bool,
     ) {
         let record = self.requests.get_mut(&request).expect("the request was submitted");
-        let s = &mut record.attempts[attempt];
-        assert!(s.outcome.is_none());
-        (s.outcome, s.finished_at_ms) = (Some(outcome), self.now_ms);
-        let (backend, latency_ms) = (s.backend, self.now_ms - s.sent_at_ms);
+        let sent = &mut record.attempts[attempt];
+        assert!(sent.outcome.is_none());
+        (sent.outcome, sent.finished_at_ms) = (Some(outcome), self.now_ms);
+        let (backend, latency_ms) = (sent.backend, self.now_ms - sent.sent_at_ms);
         if outcome == Outcome::Ok && record.ended.is_none() {
             self.record_end(request, "served");
         }
@@ -418,11 +421,11 @@
 
     /// Returns the attempts in flight as request, attempt number and record, in the order of request IDs.
     pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize, SentAttempt)> {
-        let sends = |(&id, record): (&RequestId, &RequestRecord)| {
+        let in_flight = |(&id, record): (&RequestId, &RequestRecord)| {
             let of = record.attempts.iter().enumerate().filter(|(_, s)| s.outcome.is_none());
             of.map(|(n, s)| (id, n, s.clone())).collect::<Vec<_>>()
         };
-        self.requests.iter().flat_map(sends).collect()
+        self.requests.iter().flat_map(in_flight).collect()
     }
 
     /// Advances the clock to `end_ms` in ticks. Fires due timers, times out expired attempts and reports
@@ -436,10 +439,15 @@
             due.into_iter().for_each(|token| self.handle(Event::TimerFired { token }));
             let late: Vec<_> =
                 self.attempts_in_flight().into_iter().filter(|(_, _, s)| s.expires_at_ms <= now).collect();
-            late.into_iter().for_each(|(id, n, _)| self.finish_attempt(id, n, Outcome::Timeout));
-            for (id, n) in std::mem::take(&mut self.cancelled) {
-                if self.requests.get(&id).is_some_and(|record| record.attempts[n].outcome.is_none()) {
-                    self.finish_attempt(id, n, Outcome::Cancelled);
+            late.into_iter()
+                .for_each(|(request, attempt, _)| self.finish_attempt(request, attempt, Outcome::Timeout));
+            for (request, attempt) in std::mem::take(&mut self.cancelled) {
+                if self
+                    .requests
+                    .get(&request)
+                    .is_some_and(|record| record.attempts[attempt].outcome.is_none())
+                {
+                    self.finish_attempt(request, attempt, Outcome::Cancelled);
                 }
             }
         }
@@ -468,9 +476,9 @@
                 self.submit_request(class, 0, 1e5);
             }
             self.advance_to(self.now_ms + self.settings.tick_ms);
-            for (id, n, s) in self.attempts_in_flight() {
-                if self.now_ms - s.sent_at_ms >= latency_ms {
-                    self.finish_attempt(id, n, Outcome::Ok);
+            for (request, attempt, sent) in self.attempts_in_flight() {
+                if self.now_ms - sent.sent_at_ms >= latency_ms {
+                    self.finish_attempt(request, attempt, Outcome::Ok);
                 }
             }
             rejected += self
