--- a/crates/balancer/tests/decisions.rs
+++ b/crates/balancer/tests/decisions.rs
@@ -37,8 +37,10 @@
 #[test]
 fn used_limit_grows_while_responses_are_fast() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
+
     let initial = fill_limit(&mut proxy, 0, 0, 400);
     assert!(initial >= 30, "the initial limit of {initial} rejects what ten idle backends could serve");
+
     for _ in 0..200 {
         proxy.advance_to(proxy.now_ms + 50.0);
         proxy
@@ -59,9 +61,11 @@
 #[test]
 fn unused_limit_stays() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
+
     let initial = fill_limit(&mut ProxyHarness::new(single_class_settings(1), 1, endpoints(10)), 0, 0, 400);
     proxy.serve_steadily(10_000.0, 1, 0, 10.0);
     let after = fill_limit(&mut proxy, 0, 0, 400);
+
     assert!(after <= initial + 1, "limit {initial} at first, {after} after a time of low load");
 }
 
@@ -76,6 +80,7 @@
         proxy.update_endpoints(EndpointListKind::Full, remaining);
         proxy.update_endpoints(EndpointListKind::Full, endpoints(10));
     }
+
     assert_eq!(fill_limit(&mut proxy, 0, 0, 400), initial);
 }
 
@@ -85,6 +90,7 @@
 fn limit_falls_on_slow_or_rejected_responses() {
     for (latency_ms, outcome) in [(900.0, Outcome::Ok), (60.0, Outcome::Full)] {
         let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
+
         proxy.serve_steadily(3000.0, 4, 0, 40.0);
         let before = fill_limit(&mut proxy, 0, 0, 400);
         for _ in 0..12 {
@@ -96,6 +102,7 @@
             fill_limit(&mut proxy, 0, 0, 400);
         }
         let after = proxy.attempts_in_flight().len();
+
         assert!(after < before * 3 / 4, "{outcome:?}: {before} attempts in flight before, {after} after");
     }
 }
@@ -105,6 +112,7 @@
 #[test]
 fn few_fast_responses_do_not_raise_the_limit() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
+
     let initial = fill_limit(&mut proxy, 0, 0, 400);
     for _ in 0..40 {
         proxy.advance_to(proxy.now_ms + 50.0);
@@ -114,6 +122,7 @@
         }
     }
     let after = fill_limit(&mut proxy, 0, 0, 400);
+
     assert!(after <= initial + 1, "limit {initial} at first, {after} after a few fast responses");
 }
 
@@ -179,10 +188,12 @@
 #[test]
 fn growing_backend_queues_keep_the_limit_down() {
     let mut proxy = ProxyHarness::new(single_class_settings(4), 1, endpoints(10));
+
     let before = fill_limit(&mut ProxyHarness::new(single_class_settings(4), 1, endpoints(10)), 0, 0, 100);
     proxy.serve_steadily(5000.0, 1, 0, 100.0);
     proxy.serve_steadily(10_000.0, 1, 0, 360.0);
     let after = fill_limit(&mut proxy, 0, 0, 100);
+
     assert!(
         after * 4 <= before * 5,
         "{before} attempts in flight at first, {after} after 10 s of growing queues"
@@ -241,6 +252,7 @@
         fill_limit(&mut proxy, 0, 0, 400) as f64 / before
     };
     let (at_once, warm) = (growth(0.0), growth(20_000.0));
+
     assert!(
         (1.05..1.2).contains(&at_once),
         "ten backends in slow start beside ten warm ones: {at_once} of the limit"
@@ -255,12 +267,14 @@
     let classes =
         vec![class(1000.0, 9.0, Idempotency::Idempotent), class(1000.0, 1.0, Idempotency::Idempotent)];
     let mut proxy = ProxyHarness::new(settings(1, classes), 1, endpoints(10));
+
     let total = fill_limit(&mut proxy, 1, 0, 400);
     let high = fill_limit(&mut proxy, 0, 0, 400) - total;
     // Past the total limit, the slice with a share of 0.9 still fills up to its own limit; the one with 0.1
     // does not.
     assert_eq!(high, (total as f64 * 0.9).ceil() as usize);
     assert_eq!(fill_limit(&mut proxy, 1, 0, 50), total + high);
+
     // After all attempts finish and high priority fills the limit, the low-priority slice still has its
     // share.
     proxy.advance_to(proxy.now_ms + 1000.0);
@@ -280,9 +294,11 @@
     let mut settings = single_class_settings(1);
     settings.tenants = vec![Tenant { quota_per_s: 10.0 }, Tenant { quota_per_s: 10.0 }];
     let mut proxy = ProxyHarness::new(settings.clone(), 1, endpoints(10));
+
     let total = fill_limit(&mut proxy, 0, 0, 400);
     assert!(total >= 20, "spare capacity is not used: {total} attempts");
     assert_eq!(fill_limit(&mut proxy, 0, 1, 9), total + 9, "a tenant within its quota was rejected");
+
     // In later tiers the work for a request has already begun, so the priority stays.
     settings.tier = 1;
     let mut proxy = ProxyHarness::new(settings, 1, endpoints(10));
@@ -296,6 +312,7 @@
     let classes =
         vec![class(1000.0, 9.0, Idempotency::NonIdempotent), class(1000.0, 1.0, Idempotency::NonIdempotent)];
     let mut proxy = ProxyHarness::new(settings(1, classes), 1, endpoints(5));
+
     // The low-priority slice fills the total limit and queues four more.
     let in_flight = fill_limit(&mut proxy, 1, 0, 24);
     let low: Vec<_> = proxy
@@ -305,6 +322,7 @@
         .map(|(&request, _)| request)
         .collect();
     assert_eq!((in_flight, low.len()), (20, 4));
+
     // The high-priority slice fills its own share past the total limit.
     fill_limit(&mut proxy, 0, 0, 20);
     let high = *proxy
@@ -322,6 +340,7 @@
         low.iter().all(|request| proxy.requests[request].attempts.is_empty()),
         "low priority was sent first because it arrived first"
     );
+
     proxy.advance_to(proxy.now_ms + 300.0);
     assert!(
         low.iter().all(|request| proxy.requests[request].ended.is_some_and(|e| e.1 == "rejected")),
@@ -336,11 +355,13 @@
     for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
         let mut proxy =
             ProxyHarness::new(settings(1, vec![class(1000.0, 1.0, idempotency)]), 1, endpoints(10));
+
         let late = proxy.submit_request(0, 0, 0.0);
         assert_eq!(
             (proxy.requests[&late].attempts.len(), proxy.requests[&late].ended.map(|e| e.1)),
             (0, Some("rejected"))
         );
+
         let timely = proxy.submit_request(0, 0, 1.0);
         assert_eq!(proxy.requests[&timely].attempts.len(), 1);
     }
@@ -397,10 +418,12 @@
         seen.len()
     };
     let mut proxy = ProxyHarness::new(single_class_settings(40), 1, endpoints(80));
+
     let quiet = backends_used(&mut proxy, 20_000.0);
     proxy.serve_steadily(6000.0, 6, 0, 200.0);
     let after = backends_used(&mut proxy, 10_000.0);
     assert!(after > 2 * quiet, "{quiet} backends at low load, {after} after a burst");
+
     backends_used(&mut proxy, 120_000.0);
     let later = backends_used(&mut proxy, 20_000.0);
     assert!(later < after, "{after} backends after the burst, {later} two minutes later");
@@ -411,6 +434,7 @@
 fn load_follows_the_speed_of_each_backend() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(10));
     let mut attempts: BTreeMap<bool, usize> = BTreeMap::new();
+
     for _ in 0..4000 {
         proxy.submit_request(0, 0, 1e5);
         proxy.advance_to(proxy.now_ms + 5.0);
@@ -423,6 +447,7 @@
         }
         proxy.forget_finished_requests();
     }
+
     assert!(attempts[&false] > 2 * attempts[&true], "attempts by whether the backend is slow: {attempts:?}");
 }
 
@@ -461,6 +486,7 @@
 #[test]
 fn unresponsive_backend_is_ejected_and_restored() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     run_for(
         &mut proxy,
@@ -478,6 +504,7 @@
         hanging.get(&2).copied().unwrap_or(0) <= 3,
         "the unresponsive backend still gets attempts: {hanging:?}, {stuck} unanswered"
     );
+
     run_for(&mut proxy, 30_000.0, answers_in_50_ms);
     let back = run_for(&mut proxy, 3000.0, answers_in_50_ms);
     assert!(back.get(&2).copied().unwrap_or(0) > 20, "the backend is not restored: {back:?}");
@@ -512,6 +539,7 @@
         }
         attempts
     };
+
     attempts_at_backend_2(3000.0, false);
     attempts_at_backend_2(1000.0, true);
     let while_ignoring = attempts_at_backend_2(6000.0, true);
@@ -519,6 +547,7 @@
         while_ignoring[1] <= 1 && while_ignoring[0] > 50,
         "attempts by class at the backend that ignores class 1: {while_ignoring:?}"
     );
+
     attempts_at_backend_2(20_000.0, false);
     let back = attempts_at_backend_2(3000.0, false);
     assert!(back[1] > 20, "the backend is not restored: {back:?}");
@@ -555,6 +584,7 @@
 #[test]
 fn paused_backend_that_answers_is_restored_at_once() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     run_for(
         &mut proxy,
@@ -568,6 +598,7 @@
             |sent, now_ms| if sent.backend == 2 { None } else { answers_in_50_ms(sent, now_ms) },
         );
     assert_eq!(left.get(&2), None, "not ejected: {left:?}");
+
     let back = run_for(&mut proxy, 300.0, answers_in_50_ms);
     assert!(back.get(&2).copied().unwrap_or(0) > 2, "the backend is not restored: {back:?}");
 }
@@ -577,6 +608,7 @@
 #[test]
 fn late_errors_do_not_prolong_an_ejection() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     run_for(
         &mut proxy,
@@ -588,6 +620,7 @@
     let stuck: Vec<_> =
         proxy.attempts_in_flight().into_iter().filter(|(_, _, sent)| sent.backend == 2).collect();
     assert!(stuck.len() >= 3, "{} attempts in flight at the backend", stuck.len());
+
     stuck
         .into_iter()
         .for_each(|(request, attempt, _)| proxy.finish_attempt(request, attempt, Outcome::Error));
@@ -603,6 +636,7 @@
         if sent.backend == 2 { Some(Outcome::Error) } else { answers_in_50_ms(sent, now_ms) }
     };
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     run_for(&mut proxy, 1000.0, fails_at_2);
     let failing = run_for(&mut proxy, 2000.0, fails_at_2);
@@ -610,6 +644,7 @@
         failing.get(&2).copied().unwrap_or(0) <= 3,
         "the failing backend still gets attempts: {failing:?}"
     );
+
     run_for(&mut proxy, 30_000.0, answers_in_50_ms);
     let back = run_for(&mut proxy, 3000.0, answers_in_50_ms);
     assert!(back.get(&2).copied().unwrap_or(0) > 20, "the backend is not restored: {back:?}");
@@ -619,11 +654,13 @@
 #[test]
 fn errors_at_all_backends_eject_none() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     let error_everywhere =
         |sent: &SentAttempt, now_ms: f64| answers_in_50_ms(sent, now_ms).map(|_| Outcome::Error);
     run_for(&mut proxy, 4000.0, error_everywhere);
     let attempts = run_for(&mut proxy, 4000.0, error_everywhere);
+
     assert!(attempts.len() >= 7, "backends in service: {attempts:?}");
 }
 
@@ -633,6 +670,7 @@
 #[test]
 fn failed_third_of_the_backends_is_ejected() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(9));
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     let fails_at_a_third = |sent: &SentAttempt, now_ms: f64| {
         if sent.backend <= 3 {
@@ -645,6 +683,7 @@
     let attempts = run_for(&mut proxy, 4000.0, fails_at_a_third);
     let wasted: usize = (1..=3).filter_map(|b| attempts.get(&b)).sum();
     let all: usize = attempts.values().sum();
+
     assert!(wasted * 20 < all, "{wasted} of {all} attempts sent to the failed third");
     assert!(all > 700, "the limit was cut: {all} attempts in 4 s");
 }
@@ -653,6 +692,7 @@
 #[test]
 fn two_errors_eject_no_backend() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(6));
+
     run_for(&mut proxy, 2000.0, answers_in_50_ms);
     let mut errors_left = 2;
     for _ in 0..1000 {
@@ -671,6 +711,7 @@
         }
     }
     assert_eq!(errors_left, 0);
+
     let attempts = run_for(&mut proxy, 4000.0, answers_in_50_ms);
     assert!(
         attempts.get(&2).copied().unwrap_or(0) > 20,
@@ -684,6 +725,7 @@
 fn retries_are_a_bounded_share_of_requests() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
     let (mut requests, mut attempts) = (0, 0);
+
     for _ in 0..2000 {
         proxy.submit_request(0, 0, 4000.0);
         requests += 1;
@@ -696,6 +738,7 @@
         }
         proxy.forget_finished_requests();
     }
+
     assert!(attempts * 10 <= requests * 12, "{attempts} attempts for {requests} requests that all fail");
 }
 
@@ -719,7 +762,9 @@
         assert!(proxy.polled_at_ms.len() > 6, "polling stopped after the polls at {:?}", proxy.polled_at_ms);
         proxy.polled_at_ms
     };
+
     let (a, b) = (poll_times(1), poll_times(2));
+
     assert!(a[0] - 1000.0 < 10_000.0, "the first poll is late");
     assert!(a[5] - a[4] > a[1] - a[0], "no backoff: {a:?}");
     assert!(a.iter().zip(&b).all(|(x, y)| (x - y).abs() > 1.0), "polls at the same times: {a:?} {b:?}");
@@ -805,10 +850,13 @@
         ("tick", |s| s.tick_ms = f64::NAN),
         ("guarantees.coldFrom", |s| s.guarantees.initial_capacity_fraction = -1.0),
     ];
+
     for (field, change) in cases {
         let mut settings = single_class_settings(2);
+
         change(&mut settings);
         let error = Balancer::new(settings, 1).err().expect("rejected settings");
+
         assert_eq!(error.field, field);
         assert!(error.to_string().contains(field));
     }
@@ -823,6 +871,7 @@
         vec![class(1000.0, 1.0, Idempotency::NonIdempotent), class(3000.0, 1.0, Idempotency::NonIdempotent)];
     let mut proxy = ProxyHarness::new(settings(1, classes), 1, endpoints(5));
     let mut served = [0, 0];
+
     for round in 0..4000 {
         proxy.submit_request(round % 2, 0, 1e5);
         proxy.advance_to(proxy.now_ms + 5.0);
@@ -834,6 +883,7 @@
         }
         proxy.forget_finished_requests();
     }
+
     assert!(
         served[1] * 4 < served[0] * 5 && served[0] * 4 < served[1] * 5,
         "requests served by class: {served:?}"
@@ -848,8 +898,10 @@
     settings.over_quota_weight = 0.3;
     settings.tenants = vec![Tenant { quota_per_s: 1.0 }, Tenant { quota_per_s: 1000.0 }];
     let mut proxy = ProxyHarness::new(settings, 1, endpoints(10));
+
     let within = fill_limit(&mut proxy, 0, 1, 400);
     let demoted = fill_limit(&mut proxy, 0, 0, 100) - within;
+
     assert_eq!(demoted, 1, "beside {within} attempts within the quota");
 }
 
@@ -862,6 +914,7 @@
         (now_ms - sent.sent_at_ms >= if sent.backend == 2 { 250.0 } else { 50.0 }).then_some(Outcome::Ok)
     };
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(8));
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     run_for(&mut proxy, 6000.0, slow_at_2);
     let quiet = (0..20).fold((0, 0), |(quiet_rounds, longest), _| {
@@ -873,6 +926,7 @@
         (quiet_rounds, longest.max(quiet_rounds))
     });
     assert!(quiet.1 >= 6, "never without requests for 1.5 s: {quiet:?}");
+
     run_for(&mut proxy, 30_000.0, answers_in_50_ms);
     let back = run_for(&mut proxy, 3000.0, answers_in_50_ms);
     assert!(back.get(&2).copied().unwrap_or(0) > 20, "the backend is not restored: {back:?}");
@@ -899,8 +953,10 @@
         0.0,
         "attempts left a zone that is as fast as the others"
     );
+
     let overloaded = cross_zone_share_after_overload(0.2, 700.0);
     assert!(overloaded > 0.5, "{overloaded} left a zone that is slower by 0.65 of the latency objective");
+
     let cheap = cross_zone_share_after_overload(0.0, 50.0);
     assert!(
         (0.3..0.7).contains(&cheap),
@@ -931,10 +987,12 @@
     let slow_in_zone = |sent: &SentAttempt, now_ms: f64| {
         (now_ms - sent.sent_at_ms >= if sent.backend <= 5 { 1800.0 } else { 50.0 }).then_some(Outcome::Ok)
     };
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     run_for(&mut proxy, 15_000.0, slow_in_zone);
     let left = cross_zone_share(&run_for(&mut proxy, 2000.0, slow_in_zone));
     assert!(left > 0.8, "{left} left a zone that answers in 1.8 times the latency objective");
+
     run_for(&mut proxy, 60_000.0, answers_in_50_ms);
     let back = cross_zone_share(&run_for(&mut proxy, 2000.0, answers_in_50_ms));
     assert!(back < 0.1, "{back} still leave the zone a minute after it recovered");
@@ -945,6 +1003,7 @@
 #[test]
 fn attempts_abandoned_by_clients_count_as_slow() {
     let mut proxy = proxy_in_two_zones(0.2);
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     let (end_ms, mut far, mut all) = (proxy.now_ms + 15_000.0, 0, 0);
     while proxy.now_ms < end_ms {
@@ -964,6 +1023,7 @@
         }
         proxy.forget_finished_requests();
     }
+
     assert!(far * 2 > all, "{far} of {all} attempts leave a zone whose clients disconnect");
 }
 
@@ -972,6 +1032,7 @@
 #[test]
 fn early_overload_is_not_taken_as_the_baseline() {
     let mut proxy = ProxyHarness::new(single_class_settings(1), 1, endpoints(5));
+
     proxy.serve_steadily(100.0, 1, 0, 40.0);
     let initial = fill_limit(&mut proxy, 0, 0, 400);
     for _ in 0..30 {
@@ -983,6 +1044,7 @@
         proxy.forget_finished_requests();
         fill_limit(&mut proxy, 0, 0, 100);
     }
+
     assert!(
         proxy.attempts_in_flight().len() < initial,
         "{initial} attempts in flight at first, {} after responses at 0.7 of the objective",
@@ -998,6 +1060,7 @@
         ProxyHarness::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, endpoints(8));
     let outcome_of =
         |sent: &SentAttempt, now_ms: f64| (now_ms - sent.sent_at_ms >= 150.0).then_some(Outcome::Ok);
+
     run_for(&mut proxy, 6000.0, outcome_of);
     // One response in six is lost, at any backend.
     let lossy = |sent: &SentAttempt, now_ms: f64| {
@@ -1005,6 +1068,7 @@
     };
     let attempts = run_for(&mut proxy, 30_000.0, lossy);
     let sent: usize = attempts.values().sum();
+
     assert!(sent * 10 > 6000 * 9, "{sent} of 6000 requests sent");
 }
 
@@ -1014,6 +1078,7 @@
 fn unresponsive_attempts_release_their_slots() {
     let mut proxy =
         ProxyHarness::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, endpoints(8));
+
     run_for(&mut proxy, 3000.0, answers_in_50_ms);
     let first = fill_limit(&mut proxy, 0, 0, 400);
     proxy.advance_to(proxy.now_ms + 150.0);
@@ -1022,6 +1087,7 @@
         first,
         "attempts may still be queued at the backend after three mean latencies"
     );
+
     proxy.advance_to(proxy.now_ms + 150.0);
     assert!(
         fill_limit(&mut proxy, 0, 0, 400) >= 2 * first,
@@ -1051,8 +1117,10 @@
                 .for_each(|(request, attempt, _)| proxy.finish_attempt(request, attempt, Outcome::Ok));
         }
     };
+
     serve_until(&mut proxy, 5000.0);
     assert!(attempts_since(&proxy, 0.0) > 20, "the backend is not in use");
+
     for _ in 0..2 {
         proxy.handle(Event::SetSuspended { backend: 2, is_suspended: true });
     }
@@ -1073,12 +1141,15 @@
     let request = proxy.submit_request(0, 0, 900.0);
     proxy.advance_to(proxy.now_ms + 1000.0);
     assert!(proxy.requests[&request].ended.is_some_and(|(_, end)| end == "rejected"));
+
     proxy.update_endpoints(EndpointListKind::Full, endpoints(3));
     assert_eq!(attempts_since(&proxy, 5000.0), 0);
+
     // The endpoint list still has the old start time of the backend.
     let back = proxy.now_ms;
     proxy.handle(Event::SetSuspended { backend: 2, is_suspended: false });
     assert!(proxy.suspended.is_empty(), "one resume event ends two suspensions");
+
     serve_until(&mut proxy, back + 1000.0);
     let first_second = attempts_since(&proxy, back);
     serve_until(&mut proxy, back + 5000.0);
@@ -1094,10 +1165,12 @@
 fn repeated_drain_events_act_once() {
     let mut proxy =
         ProxyHarness::new(settings(1, vec![class(400.0, 1.0, Idempotency::Idempotent)]), 5, endpoints(3));
+
     for is_draining in [false, true, true, false, false] {
         proxy.handle(Event::SetDraining { is_draining });
     }
     assert_eq!(proxy.drain_changes, [true, false]);
+
     proxy.submit_request(0, 0, 900.0);
     assert_eq!(proxy.attempts_in_flight().len(), 1, "an active instance does not send requests");
 }
@@ -1147,17 +1220,21 @@
 fn streamed_request_takes_no_slot_until_its_end() {
     let mut proxy =
         ProxyHarness::new(settings(1, vec![class(400.0, 1.0, Idempotency::NonIdempotent)]), 5, endpoints(2));
+
     let streamed: Vec<RequestId> = (0..100).map(|_| proxy.submit_streamed_request(0, 60_000.0)).collect();
     assert_eq!(proxy.attempts_in_flight().len(), 100, "all requests are sent");
+
     // A backend is not unresponsive while it has not received the whole request.
     proxy.advance_to(proxy.now_ms + 5000.0);
     let short = proxy.submit_request(0, 0, 900.0);
     assert_eq!(proxy.requests[&short].attempts.len(), 1, "the limit has a free slot");
+
     proxy.finish_attempt(short, 0, Outcome::Ok);
     let deadline_ms = proxy.now_ms + 900.0;
     streamed.iter().for_each(|&request| proxy.handle(Event::BodyReceived { request, deadline_ms }));
     let late = proxy.submit_request(0, 0, 900.0);
     assert_eq!(proxy.requests[&late].attempts.len(), 0, "the finished uploads fill the limit");
+
     // A body that was consumed with its attempt cannot be sent again, although the request never ran.
     proxy.finish_consumed_attempt(streamed[0], 0, Outcome::Full);
     assert!(proxy.requests[&streamed[0]].ended.is_some_and(|(_, end)| end == "rejected"));
@@ -1188,12 +1265,15 @@
             5,
             endpoints(30),
         );
+
         assert!(
             serve_until(&mut proxy, 2000.0, 40).contains(&backend),
             "backend {backend} is not used under load"
         );
+
         proxy.handle(Event::SetSuspended { backend, is_suspended: true });
         assert!(!serve_until(&mut proxy, 32_000.0, 1).contains(&backend));
+
         proxy.handle(Event::SetSuspended { backend, is_suspended: false });
         assert!(
             serve_until(&mut proxy, 37_000.0, 1).contains(&backend),
--- a/crates/balancer/tests/policy_size.rs
+++ b/crates/balancer/tests/policy_size.rs
@@ -45,5 +45,6 @@
     let name = |entry: fs::DirEntry| format!("{folder}/{}", entry.file_name().to_string_lossy());
     let mut present: BTreeSet<String> = entries.map(|entry| name(entry.expect("an entry"))).collect();
     present.remove(&format!("{folder}/tests.rs"));
+
     assert_eq!(present, policy_files().into_iter().collect());
 }
--- a/crates/balancer/tests/protocol_rules.rs
+++ b/crates/balancer/tests/protocol_rules.rs
@@ -147,6 +147,7 @@
         proxy.advance_to(proxy.now_ms + 2000.0);
         format!("{:?}", proxy.requests)
     };
+
     assert_eq!(run_once(), run_once());
 }
 
@@ -155,10 +156,12 @@
 #[test]
 fn short_deadline_gets_its_final_answer_in_time() {
     let mut proxy = ProxyHarness::new(settings(1, classes_of_every_kind()), 1, vec![]);
+
     for timeout_ms in [0.5, 5.0, 30.0, 60.0, 99.0, 101.0, 150.0] {
         proxy.submit_request(1, 0, timeout_ms);
     }
     proxy.advance_to(proxy.now_ms + 1000.0);
+
     assert!(proxy.requests.values().all(|record| record.ended.is_some_and(|e| e.1 == "rejected")));
 }
 
@@ -179,6 +182,7 @@
                 proxy
             })
             .collect();
+
         let mut attempts = Vec::new();
         for mut proxy in fleet {
             let started_at_ms = proxy.now_ms;
@@ -201,6 +205,7 @@
                 proxy.forget_finished_requests();
             }
         }
+
         attempts.sort_by(f64::total_cmp);
         // Each instance submits 400 requests per second over 8 backends, so a warm backend takes at least
         // this rate.
@@ -225,6 +230,7 @@
 fn new_backends_get_their_share_from_rare_senders() {
     let (backends, instance_count) = (16, 16);
     let mut attempts = vec![Vec::new(); 1 + backends + 10];
+
     for instance_index in 0..instance_count {
         let mut settings = settings(instance_count, vec![class(2000.0, 1.0, Idempotency::Idempotent)]);
         settings.instance_index = instance_index;
@@ -254,6 +260,7 @@
             proxy.forget_finished_requests();
         }
     }
+
     let share = |of: &[Vec<f64>]| {
         let got = of.iter().flatten().filter(|&&t| t >= 2000.0).count() as f64;
         got / (4.0 * 20.0 * of.len() as f64)
@@ -306,6 +313,7 @@
 fn new_instances_use_a_tier_in_slow_start() {
     let (instance_count, backends) = (4, 8);
     let mut attempts = vec![Vec::new(); 1 + backends];
+
     for instance_index in 0..instance_count {
         let mut settings = settings(instance_count, vec![class(400.0, 1.0, Idempotency::Idempotent)]);
         (settings.instance_index, settings.tenants) = (instance_index, vec![Tenant { quota_per_s: 160.0 }]);
@@ -328,6 +336,7 @@
             proxy.forget_finished_requests();
         }
     }
+
     for (backend, attempts) in attempts.iter().enumerate().skip(1) {
         // A warm backend gets 20 per second; in its first eight seconds it gets a quarter of that or less.
         assert!(attempts.len() >= 20, "backend {backend}: {} attempts", attempts.len());
@@ -347,9 +356,11 @@
     settings.instance_index = 4;
     let warming_up = endpoints(10).into_iter().map(|e| EndpointInfo { started_at_ms: 900.0, ..e }).collect();
     let mut proxy = ProxyHarness::new(settings, 3, warming_up);
+
     for _ in 0..200 {
         proxy.submit_request(0, 0, 1000.0);
     }
+
     for b in 1..=10 {
         let attempts = proxy.attempts_in_flight().iter().filter(|(_, _, sent)| sent.backend == b).count();
         assert!(attempts <= 1, "{attempts} attempts at once at a backend in slow start");
@@ -372,16 +383,20 @@
 fn ordering_key_runs_one_request_at_a_time() {
     for (outcome, quarantine_ms) in [(Outcome::Ok, 0.0), (Outcome::Reset, 300.0), (Outcome::Timeout, 300.0)] {
         let mut proxy = proxy_with_ordered_class();
+
         let [first, next, other, free] =
             [7, 7, 8, 0].map(|key| proxy.submit_keyed_request(key, 0, 0, 3000.0));
         let attempts = |proxy: &ProxyHarness, request| proxy.requests[&request].attempts.len();
         assert_eq!([first, next, other, free].map(|request| attempts(&proxy, request)), [1, 0, 1, 1]);
+
         if quarantine_ms > 0.0 {
             proxy.disconnect(first);
         }
         assert_eq!(attempts(&proxy, next), 0, "{outcome:?}: sent while the first has an attempt in flight");
+
         proxy.finish_attempt(first, 0, outcome);
         assert_eq!(attempts(&proxy, next), usize::from(quarantine_ms == 0.0), "{outcome:?}");
+
         proxy.advance_to(proxy.now_ms + quarantine_ms);
         proxy.advance_to(proxy.now_ms + 100.0);
         assert_eq!(attempts(&proxy, next), 1, "{outcome:?}: not sent after the key quarantine");
@@ -393,9 +408,11 @@
 #[test]
 fn requests_queued_on_a_key_block_no_others() {
     let mut proxy = proxy_with_ordered_class();
+
     let same_key: Vec<_> = (0..200).map(|_| proxy.submit_keyed_request(7, 0, 0, 3000.0)).collect();
     let free = proxy.submit_keyed_request(0, 0, 0, 3000.0);
     assert_eq!((proxy.attempts_in_flight().len(), proxy.requests[&free].attempts.len()), (2, 1));
+
     proxy.advance_to(proxy.now_ms + 2500.0);
     assert!(
         same_key[1..].iter().all(|request| proxy.requests[request].ended.is_some_and(|e| e.1 == "rejected"))
@@ -408,12 +425,14 @@
 fn idle_connections_to_a_draining_backend_are_closed() {
     let mut proxy =
         ProxyHarness::new(settings(1, vec![class(1000.0, 1.0, Idempotency::NonIdempotent)]), 1, endpoints(1));
+
     let request = proxy.submit_request(0, 0, 3000.0);
     proxy.update_endpoints(
         EndpointListKind::Delta,
         vec![EndpointInfo { phase: Phase::Draining, ..endpoint(1) }],
     );
     assert_eq!(proxy.idle_closed_at_ms.get(&1), Some(&proxy.now_ms));
+
     proxy.advance_to(proxy.now_ms + 400.0);
     proxy.finish_attempt(request, 0, Outcome::Ok);
     assert_eq!(
--- a/crates/balancer/tests/reconfigure.rs
+++ b/crates/balancer/tests/reconfigure.rs
@@ -54,6 +54,7 @@
 fn open_request_keeps_its_idempotency() {
     for (before, after) in [(IDEMPOTENT, NON_IDEMPOTENT), (NON_IDEMPOTENT, IDEMPOTENT)] {
         let mut proxy = ProxyHarness::new(settings_with(vec![class(1000.0, 1.0, before)]), 1, endpoints(4));
+
         let old = proxy.submit_request(0, 0, 5000.0);
         proxy
             .configure(settings_with(vec![class(1000.0, 1.0, after)]), CONTINUE_ONE.into(), vec![])
@@ -77,6 +78,7 @@
             .attempts_in_flight()
             .into_iter()
             .for_each(|(request, attempt, _)| proxy.finish_attempt(request, attempt, Outcome::Ok));
+
         assert_idle(&proxy);
     }
 }
@@ -89,8 +91,10 @@
     let mut short = settings_with(vec![class(1000.0, 1.0, dedup(200.0))]);
     short.capabilities.max_attempts = 2;
     let long = settings_with(vec![class(1000.0, 1.0, dedup(60_000.0))]);
+
     for (delay_ms, outcome, max_attempts) in [(250.0, Outcome::Reset, 1), (5.0, Outcome::Full, 2)] {
         let mut proxy = ProxyHarness::new(short.clone(), 1, endpoints(8));
+
         let old = proxy.submit_request(0, 0, 5000.0);
         proxy.configure(long.clone(), CONTINUE_ONE.into(), vec![]).expect("valid settings");
         let new = proxy.submit_request(0, 0, 5000.0);
@@ -102,6 +106,7 @@
                 }
             }
         }
+
         assert_eq!(attempt_count(&proxy, old), max_attempts, "{outcome:?}");
         assert!(attempt_count(&proxy, new) > max_attempts, "{outcome:?}: the new request is not retried");
     }
@@ -115,17 +120,22 @@
     let old = proxy.submit_request(0, 0, 5000.0);
     proxy.configure(settings_with(vec![kept.clone()]), vec![Some(1)], vec![]).expect("valid settings");
     assert_eq!(end_of(&proxy, old), None);
+
     // Index 0 now belongs to the other class, and index 1 to none.
     let new = proxy.submit_request(0, 0, 5000.0);
     let none = proxy.submit_request(1, 0, 5000.0);
     assert_eq!((end_of(&proxy, none), attempt_count(&proxy, none)), (Some("failed"), 0));
+
     proxy.finish_attempt(old, 0, Outcome::Error);
     assert_eq!(attempt_count(&proxy, old), 2, "the request is retried as its removed class allows");
+
     proxy.finish_attempt(new, 0, Outcome::Error);
     assert_eq!((end_of(&proxy, new), attempt_count(&proxy, new)), (Some("failed"), 1));
+
     proxy.finish_attempt(old, 1, Outcome::Ok);
     assert_eq!(end_of(&proxy, old), Some("served"));
     assert_idle(&proxy);
+
     proxy.configure(settings_with(vec![kept, removed]), vec![Some(0), None], vec![]).expect("valid settings");
     assert_eq!(proxy.balancer.gauges().classes, 2, "the record of the removed class is reused");
 }
@@ -144,13 +154,16 @@
         ([3.0, 0.0], [None, Some(1)], 0, 3, 0),
     ] {
         let mut proxy = ProxyHarness::new(settings_with_quotas(&[3.0, 0.0]), 1, endpoints(4));
+
         let paid: Vec<RequestId> = (0..3).map(|_| proxy.submit_request(0, 0, 5000.0)).collect();
         assert!(count_sent_at_once(&mut proxy, 1) > 3, "the rest of the limit is not used");
         assert_eq!(count_sent_at_once(&mut proxy, 0), 0, "the quota is not spent");
+
         proxy
             .configure(settings_with_quotas(&quotas), CONTINUE_ONE.into(), continued.into())
             .expect("valid settings");
         assert_eq!(count_sent_at_once(&mut proxy, tenant), before_end, "{continued:?}");
+
         paid.into_iter().for_each(|request| proxy.disconnect(request));
         assert_eq!(count_sent_at_once(&mut proxy, tenant), after_end, "{continued:?}");
     }
@@ -165,6 +178,7 @@
         settings_with(vec![class(1000.0, priority_weight, IDEMPOTENT), class(500.0, 1.0, NON_IDEMPOTENT)])
     };
     let mut proxy = ProxyHarness::new(settings_with_weight(1.0), 1, endpoints(10));
+
     proxy.serve_steadily(5000.0, 4, 0, 40.0);
     let before = proxy.balancer.gauges();
     for priority_weight in [2.0, 3.0, 1.0] {
@@ -208,6 +222,7 @@
         }
         (sent, proxy.balancer.gauges())
     };
+
     assert_eq!(run(false), run(true));
 }
 
@@ -219,6 +234,7 @@
         settings_with(vec![class(8000.0, priority_weight, IDEMPOTENT), class(8000.0, 1.0, IDEMPOTENT)])
     };
     let mut proxy = ProxyHarness::new(settings_with_weight(3.0), 1, endpoints(2));
+
     // Fill both slices, then queue requests in each.
     for n in 0..2 {
         while {
@@ -237,11 +253,13 @@
     };
     let (first, second) = (queued(&proxy, 0), queued(&proxy, 1));
     assert!(first.len() >= 3 && second.len() >= 3, "{first:?} {second:?}");
+
     // The classes swap their indexes and change their weights; the queued requests of each class stay in
     // order.
     let swapped = settings_with(vec![class(8000.0, 5.0, IDEMPOTENT), class(8000.0, 1.0, NON_IDEMPOTENT)]);
     proxy.configure(swapped, vec![Some(1), Some(0)], vec![]).expect("valid settings");
     assert_eq!(proxy.balancer.gauges().queued, first.len() + second.len());
+
     let mut order = Vec::new();
     while !(queued(&proxy, 0).is_empty() && queued(&proxy, 1).is_empty()) {
         let still_queued = [queued(&proxy, 0), queued(&proxy, 1)].concat();
@@ -249,10 +267,12 @@
         proxy.finish_attempt(request, attempt, Outcome::Ok);
         order.extend(still_queued.into_iter().filter(|request| attempt_count(&proxy, *request) > 0));
     }
+
     for of in [first, second] {
         let of_class: Vec<RequestId> = order.iter().copied().filter(|request| of.contains(request)).collect();
         assert_eq!(of_class, of, "not sent in order of arrival");
     }
+
     proxy
         .attempts_in_flight()
         .into_iter()
@@ -269,8 +289,10 @@
     };
     for (before, after) in [(2.0, 6.0), (6.0, 3.0), (3.0, 12.0), (12.0, 12.0)] {
         let mut proxy = ProxyHarness::new(settings_with_quota(before), 1, endpoints(8));
+
         assert!(count_sent_at_once(&mut proxy, 1) > 20, "the rest of the limit is not used");
         assert_eq!(count_sent_at_once(&mut proxy, 0), before as usize, "not the whole quota");
+
         proxy
             .configure(settings_with_quota(after), CONTINUE_ONE.into(), CONTINUE_TWO.into())
             .expect("valid settings");
@@ -279,6 +301,7 @@
             0,
             "the new quota was granted for the time before the configuration"
         );
+
         proxy.advance_to(proxy.now_ms + 1000.0);
         assert_eq!(count_sent_at_once(&mut proxy, 0), after as usize);
     }
@@ -348,6 +371,7 @@
         }
         (format!("{:?}", proxy.requests), proxy.balancer.gauges())
     };
+
     assert_eq!(run(false), run(true));
 }
 
@@ -369,6 +393,7 @@
         balancer.configure(0.0, update, &mut Vec::new()).map_err(|e| e.field)
     };
     let stale = || Err("version".to_string());
+
     assert_eq!(configure(0, 1.0, 0), Ok(0), "the same settings");
     assert_eq!(configure(0, 2.0, 0), Ok(1), "version 0 asks for the next version");
     assert_eq!(configure(0, 2.0, 0), Ok(1));
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -257,9 +257,11 @@
     let changes = (0..replacements).map(replacement).collect();
     // The last backend stops 2 s after its replacement starts, and all instances have that list 1 s later.
     let end_ms = 2000.0 + 100.0 * f64::from(replacements) + 2000.0 + 1000.0;
+
     let fleet = Fleet::run(Scenario { changes, warm_backends: backends, end_ms, ..scenario }, 1);
     let newest = fleet.lists.last().expect("a list").iter().map(|e| e.backend);
     assert_eq!(newest.collect::<Vec<_>>(), (replacements + 1..=replacements + backends).collect::<Vec<_>>());
+
     for (index, instance) in fleet.instances.iter().enumerate() {
         assert_eq!(
             instance.list_version,
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -111,10 +111,13 @@
     let start = frame(&[launch(&settings_json().to_string()), endpoint_page(1, &[11]), endpoint_list(1, 3)]);
     // Page 1 is redefined within the frame: once before the endpoint list and once after it.
     let next = frame(&[endpoint_page(1, &[22]), endpoint_list(1, 0), endpoint_page(1, &[33]), request(99)]);
+
     let out = run_adapter(&[start, next].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+
     let replies = split_replies(&out.stdout);
     assert_eq!(replies.len(), 2, "one reply to each frame");
+
     let mut sent = with_fields(record_header(1, 3), &[&99u64.to_le_bytes(), &22u32.to_le_bytes()]);
     sent.extend((NOW_MS + 2000.0).to_le_bytes());
     assert_eq!(replies[1], sent);
@@ -129,8 +132,10 @@
     let mut drained = endpoint_page(2, &[11]);
     // Sets the phase of the only endpoint to draining.
     drained[10] = 2;
+
     let out = run_adapter(&[start, two, frame(&[drained, endpoint_list(2, 1)])].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+
     let replies = split_replies(&out.stdout);
     assert_eq!(replies[1].len(), 24, "more than one attempt: {:?}", replies[1]);
     assert_eq!(replies[2], with_fields(record_header(7, 3), &[&11u32.to_le_bytes()]));
@@ -141,6 +146,7 @@
 fn end_of_input_between_frames_exits_with_zero() {
     let out = run_adapter(&[]);
     assert!(out.status.success() && out.stdout.is_empty());
+
     let out = run_adapter(&frame(&[]));
     assert!(out.status.success());
     assert_eq!(out.stdout, [0, 0, 0, 0]);
@@ -186,6 +192,7 @@
         (launch_with(&|f| f["slotNo"] = 5.into()), &["slotNo"]),
         (frame(&[launch(&settings_json().to_string().replace("500.0", "1e999"))]), &["settings"]),
     ];
+
     for (input, words) in cases {
         let out = run_adapter(&input);
         let error = String::from_utf8_lossy(&out.stderr);
@@ -212,9 +219,11 @@
     let datagram = with_fields(record_header(9, 3), &[&1u32.to_le_bytes(), &2u16.to_le_bytes(), b"hi"]);
     let start = frame(&[launch(&settings_json().to_string()), endpoint_page(1, &[11]), endpoint_list(1, 3)]);
     let rest = frame(&[first_byte(3), sampled, datagram]);
+
     let out = run_adapter(&[start.clone(), rest].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     assert_eq!(split_replies(&out.stdout)[1], Vec::<u8>::new());
+
     let out = run_adapter(&[start, frame(&[first_byte(8)])].concat());
     assert_eq!(out.status.code(), Some(1));
     assert!(String::from_utf8_lossy(&out.stderr).contains("instance 8 is unknown"));
