--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The balancer instances that the simulator has started.
+//! Runs the balancer instances that the simulator has launched.
 
 use crate::error::RecordError;
 use crate::wire::{Record, Reply};
@@ -8,19 +8,22 @@
 use std::collections::HashMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// The running instances, by their numbers.
+/// The running instances, keyed by instance number.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<u16, Balancer>,
+    /// Buffer for the actions of one event, kept to avoid an allocation for each event.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Carries a record out at a time, and adds to the reply what is decided.
-    pub fn carry_out(&mut self, now_ms: f64, record: Record, reply: &mut Reply) -> Result<(), RecordError> {
+    /// Executes a record at `now_ms` and appends the resulting actions to `reply`.
+    ///
+    /// A panic in the balancer is reported in the reply as a fatal action; the adapter keeps running.
+    pub fn execute(&mut self, now_ms: f64, record: Record, reply: &mut Reply) -> Result<(), RecordError> {
         match record {
             Record::Page => Ok(()),
-            Record::Unused { instance } => self.instance(instance).map(|_| ()),
+            Record::Ignored { instance } => self.instance(instance).map(|_| ()),
             Record::Launch { instance, seed, settings } => {
                 let settings = settings_format::parse(&settings)?;
                 self.instances.insert(instance, Balancer::new(settings.balancer, seed)?);
@@ -50,15 +53,15 @@
         let balancer = self.instance(instance)?;
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now_ms, event, &mut actions)));
         match handled {
-            Ok(()) => actions.iter().for_each(|action| reply.push(instance, action)),
-            Err(panic) => reply.push_fatal(instance, panic_text(&*panic)),
+            Ok(()) => actions.iter().for_each(|action| reply.push_action(instance, action)),
+            Err(panic) => reply.push_fatal(instance, panic_message(&*panic)),
         }
         self.actions = actions;
         Ok(())
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> &str {
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
     if let Some(text) = panic.downcast_ref::<String>() {
         return text;
     }
