--- a/crates/proxy/src/transport/arrival.rs
+++ b/crates/proxy/src/transport/arrival.rs
@@ -1,4 +1,5 @@
-//! When bytes that wait to be read have come. A program that accepts or reads late would otherwise take them for new.
+//! The arrival times of unread bytes. Without them, bytes that arrived before their connection was accepted
+//! or read would be taken for new.
 
 use super::client_socket::ClientSocket;
 use nix::sys::socket::sockopt::ReceiveTimestampns;
@@ -9,35 +10,37 @@
 use std::time::{Duration, SystemTime};
 use tokio::time::Instant;
 
-/// What came more lately than this is read as it comes.
+/// Bytes that arrived more recently than this count from the time of their read.
 const MIN_WAIT: Duration = Duration::from_millis(10);
-/// So far the clock of the system's stamps and that of the program may drift apart while a connection waits.
+/// The permitted drift between the clock of the kernel's timestamps and the program's clock while a
+/// connection waits.
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(10);
-/// No more than this is looked at, in bytes; the HTTP library reads no more at once.
+/// The maximum number of bytes that are peeked at. The HTTP library reads no more at once.
 const MAX_PEEKED_BYTES: usize = super::MAX_HEAD_BYTES;
 
-/// Has the system note when bytes come on the connections of a listener. False if it can't.
+/// Enables the kernel's receive timestamps on the connections of a listener. Returns `false` if that fails.
 pub fn stamp_arrivals(listener: &impl AsFd) -> bool {
     setsockopt(listener, ReceiveTimestampns, &true).is_ok()
 }
 
-/// Tells when the bytes that wait to be read on a new connection came.
+/// Determines when the unread bytes of a new connection arrived.
 pub struct ArrivalProbe {
     socket: ClientSocket,
     earliest: Instant,
 }
 
 impl ArrivalProbe {
-    /// A probe for a connection on which nothing can have come before a time.
+    /// Creates a probe for a connection on which no byte can have arrived before `earliest`.
     pub fn new(socket: ClientSocket, earliest: Instant) -> Self {
         ArrivalProbe { socket, earliest }
     }
 
-    /// When the last came of the bytes that a read of so many would find. None if nothing has waited for long, or if
-    /// the system doesn't know.
+    /// Returns the arrival time of the last byte that a read of `read_bytes` bytes would return. Returns
+    /// `None` if that byte has not waited for long or its arrival time is unknown.
     pub(super) fn waiting_since(&self, read_bytes: usize) -> Option<Instant> {
         let stamp = self.socket.with_stream(|socket| last_stamp(socket, read_bytes))?;
-        // A stamp outside the time in which it can have been made is of a clock that differs from the program's.
+        // A timestamp in the future, or from before the earliest possible arrival, comes from a clock that
+        // differs from the program's.
         let age = SystemTime::now().duration_since(stamp).ok()?;
         let now = Instant::now();
         let longest = now.saturating_duration_since(self.earliest);
@@ -48,7 +51,7 @@
     }
 }
 
-/// The system's stamp on the last of the bytes that a read would find.
+/// Returns the kernel's timestamp of the last byte that a read would return.
 fn last_stamp(socket: &impl AsRawFd, read_bytes: usize) -> Option<SystemTime> {
     let mut space = [0; MAX_PEEKED_BYTES];
     let mut peeked = [IoSliceMut::new(&mut space[..read_bytes.min(MAX_PEEKED_BYTES)])];
--- a/crates/proxy/src/transport/body.rs
+++ b/crates/proxy/src/transport/body.rs
@@ -1,4 +1,4 @@
-//! Bodies, buffered or streamed through as they come.
+//! Message bodies, either buffered or streamed.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -13,26 +13,26 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// A body that is streamed through as it comes. Whoever writes it waits until what went before was taken.
+/// A body that is forwarded as it arrives. Its sender waits until the previous frame has been taken.
 #[derive(Debug)]
 pub struct StreamedBody {
     frames: mpsc::Receiver<Option<Bytes>>,
-    /// Bytes still to come, where that is known.
+    /// The number of bytes still to come, if the length is known.
     remaining: Option<u64>,
 }
 
-/// Where the frames of a streamed body are put: data, and nothing at its proper end. A body whose sender is dropped
-/// before has broken off.
+/// The sender of a streamed body's frames: `Some` for data, and `None` for the regular end of the body.
+/// Dropping the sender before that end aborts the body.
 pub type FrameSender = mpsc::Sender<Option<Bytes>>;
 
 impl StreamedBody {
-    /// A body of so many bytes, if that is known.
+    /// Creates a body of `length` bytes, or of unknown length, together with the sender of its frames.
     pub fn new(length: Option<u64>) -> (FrameSender, StreamedBody) {
         let (sender, frames) = mpsc::channel(1);
         (sender, StreamedBody { frames, remaining: length })
     }
 
-    /// Counts data that came; false if it is more than the body's length.
+    /// Subtracts received data from the remaining length. Returns `false` if the data exceeds it.
     fn count(&mut self, data: &Bytes) -> bool {
         let Some(remaining) = &mut self.remaining else { return true };
         match remaining.checked_sub(data.len() as u64) {
@@ -72,22 +72,22 @@
     }
 }
 
-/// What a body consists of.
+/// The content of a body.
 #[derive(Debug)]
 pub enum BodyContent {
-    /// All of it.
+    /// The complete body.
     Buffered(Full<Bytes>),
-    /// It is streamed through.
+    /// A body that is forwarded as it arrives.
     Streamed(StreamedBody),
 }
 
 impl BodyContent {
-    /// A body that is there already.
+    /// Creates a body whose data is already complete.
     pub fn buffered(data: Bytes) -> Self {
         BodyContent::Buffered(Full::new(data))
     }
 
-    /// A body of no bytes.
+    /// Creates an empty body.
     pub fn empty() -> Self {
         BodyContent::Buffered(Full::default())
     }
@@ -124,69 +124,71 @@
     }
 }
 
-/// A request's body that is streamed through, so that only one attempt can have it. It belongs to its request: once
-/// that is over, whoever puts the frames is told that nobody takes them.
+/// A request body that is streamed and can therefore be sent by only one attempt. It is dropped with its
+/// request, which closes the frame channel: the sender of the frames learns that they are no longer taken.
 pub struct StreamedUpload {
     body: RefCell<Option<StreamedBody>>,
     status: Rc<UploadStatus>,
 }
 
 impl StreamedUpload {
-    /// An upload, and where its frames are put.
+    /// Creates an upload and the sender of its frames.
     pub fn new(length: Option<u64>, client_timeout: Duration) -> (FrameSender, Self) {
         let (frames, body) = StreamedBody::new(length);
         let status = UploadStatus { client_timeout, result: watch::Sender::new(None) };
         (frames, StreamedUpload { body: RefCell::new(Some(body)), status: Rc::new(status) })
     }
 
-    /// How far it has come.
+    /// Returns the upload's status, which can outlive the request.
     pub fn status(&self) -> &Rc<UploadStatus> {
         &self.status
     }
 
-    /// Takes the body for an attempt; none if another one has it.
+    /// Takes the body for an attempt. Returns `None` if another attempt has taken it.
     pub(super) fn take_body(&self) -> Option<StreamedBody> {
         self.body.take()
     }
 
-    /// Returns the body of an attempt that has had none of it.
+    /// Puts back the body of an attempt that has sent nothing of it.
     pub(super) fn return_body(&self, body: StreamedBody) {
         self.body.replace(Some(body));
     }
 
-    /// Whether an attempt has had some of it.
+    /// Returns whether an attempt has taken the body and not put it back.
     pub fn is_consumed(&self) -> bool {
         self.body.borrow().is_none()
     }
 }
 
-/// How far a streamed upload has come. It outlasts the request where its client still writes.
+/// The status of a streamed upload. It outlives the request if the client is still sending the body.
 pub struct UploadStatus {
-    /// How long its client waits after its last byte.
+    /// The client timeout, which counts from the last byte of the body.
     pub client_timeout: Duration,
-    /// Whether it has been read to its end, and when, or what was wrong with it.
+    /// When the body was read to its end, or the response status if the body is incomplete or invalid. `None`
+    /// until one of them is known.
     result: watch::Sender<Option<Result<Instant, StatusCode>>>,
 }
 
 impl UploadStatus {
-    /// It has come to its end, or something is wrong with it.
+    /// Records that the body was read to its end, or that it is incomplete or invalid.
     pub fn finish(&self, result: Result<Instant, StatusCode>) {
         self.result.send_replace(Some(result));
     }
 
-    /// What was wrong with it.
+    /// Returns the response status if the body is incomplete or invalid.
     pub fn failure(&self) -> Option<StatusCode> {
         self.result.borrow().and_then(Result::err)
     }
 
-    /// When its last byte came, if it has.
+    /// Returns when the last byte arrived, if it has.
     pub fn completed_at(&self) -> Option<Instant> {
         self.result.borrow().and_then(Result::ok)
     }
 
-    /// Waits for its last byte; nothing if it breaks off.
+    /// Waits for the last byte and returns when it arrived, or `None` if the body turns out to be incomplete
+    /// or invalid.
     pub async fn completed(&self) -> Option<Instant> {
-        // The sender is this upload's own, so that the wait never fails.
+        // `self` owns the sender, so waiting cannot fail.
         let _ = self.result.subscribe().wait_for(Option::is_some).await;
         self.completed_at()
     }
--- a/crates/proxy/src/transport/client_socket.rs
+++ b/crates/proxy/src/transport/client_socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket, and whether the client is still connected.
+//! A client's socket, and the check whether the client is still connected.
 
 use super::unread_probe::UnreadProbe;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -16,36 +16,37 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// How long what still comes on a connection is read after its half-close: the other side need only see the close.
+/// How long input is read and discarded after the half-close. The client only needs time to see the close.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// No more than this is read of it.
+/// The maximum number of bytes that are discarded during a lingering close.
 const LINGERING_CLOSE_BYTES: u64 = 1 << 20;
-/// How often the system is asked for the end of what comes, where bytes lie before it.
+/// How often the end of the input is polled for while unread bytes precede it.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A client's socket in two hands of one task: the HTTP library's, which reads and writes it, and that of whoever
-/// closes its connection.
+/// A client's socket with two users in the same task: the HTTP library, which reads and writes it, and the
+/// code that closes the connection.
 #[derive(Clone)]
 pub struct ClientSocket(Rc<RefCell<TokioIo<TcpStream>>>);
 
 impl ClientSocket {
-    /// A socket that both may share.
+    /// Wraps a stream so that both users can share it.
     pub fn new(stream: TcpStream) -> Self {
         ClientSocket(Rc::new(RefCell::new(TokioIo::new(stream))))
     }
 
-    /// Calls a function with the stream itself.
+    /// Calls a function with the underlying stream.
     pub(super) fn with_stream<T>(&self, call: impl FnOnce(&TcpStream) -> T) -> T {
         call(self.0.borrow().inner())
     }
 
-    /// Tells whether the client is still connected, also after this hand has let go of the socket.
+    /// Returns a handle that reports whether the client is still connected. The handle can outlive the
+    /// socket.
     pub fn liveness(&self) -> ClientLiveness {
         ClientLiveness(Rc::downgrade(&self.0))
     }
 
-    /// Comes back once the client has ended its sending while `is_watched` holds, also where bytes lie before that
-    /// end which nobody reads.
+    /// Waits until the client has closed its sending side while `is_watched` returns `true`. Unread bytes
+    /// before that close do not hide it.
     pub async fn disconnected(&self, is_watched: impl Fn() -> bool) {
         loop {
             let readable = poll_fn(|context| {
@@ -55,13 +56,14 @@
             if is_watched() && self.is_read_closed() {
                 return;
             }
-            // Bytes that nobody reads yet: of what comes behind them no reactor tells.
+            // Bytes are unread, so the socket stays readable and the reactor does not report what arrives
+            // after them.
             sleep(DISCONNECT_POLL_INTERVAL).await;
         }
     }
 
-    /// Whether the system has told that nothing more comes. It does so at the same time as that there is something
-    /// to read.
+    /// Returns whether the kernel has reported the end of the input. It reports the end together with
+    /// readability.
     fn is_read_closed(&self) -> bool {
         let stream = self.0.borrow();
         let mut ready = pin!(stream.inner().ready(Interest::READABLE));
@@ -71,37 +73,38 @@
         }
     }
 
-    /// Writes a short last message past the HTTP library and past the reactor, as far as the system takes it at once.
+    /// Writes a short final message directly to the socket, past the HTTP library and the reactor. Only the
+    /// part that the kernel accepts at once is sent.
     pub fn send_last(&self, message: &[u8]) {
         let stream = self.0.borrow();
-        // Who can't be told any more has disconnected.
+        // An error means that the client has disconnected.
         let _ = (&*SockRef::from(stream.inner())).write(message);
     }
 
-    /// Closes the connection in good order, once the HTTP library has let go of it: what was written goes out, and
-    /// what still comes is read for a moment. Closed over unread bytes, the system would throw away what the client
-    /// has not taken yet.
+    /// Closes the connection gracefully once the HTTP library has released it: half-closes it so that written
+    /// data is sent, then reads and discards input for a limited time. If a socket were closed with unread
+    /// bytes, the kernel would discard the data that the client has not received yet.
     pub async fn lingering_close(self) {
         let Some(stream) = Rc::into_inner(self.0) else { return };
         let mut stream = stream.into_inner().into_inner();
         let rest = async {
-            // One that fails was closed already.
+            // The shutdown fails if the connection is already closed.
             let _ = stream.shutdown().await;
             copy(&mut stream.take(LINGERING_CLOSE_BYTES), &mut sink()).await
         };
-        // The client has closed too, or has had its time.
+        // Ends when the client closes the connection too, or at the timeout.
         let _ = timeout(LINGERING_CLOSE_TIMEOUT, rest).await;
     }
 }
 
-/// Tells whether a client is still connected. Holds nothing open.
+/// Reports whether a client is still connected. It does not keep the socket open.
 #[derive(Clone)]
 pub struct ClientLiveness(Weak<RefCell<TokioIo<TcpStream>>>);
 
 impl ClientLiveness {
-    /// Whether it is so now. The task of a client that disconnects may wait long for its turn, or for bytes before
-    /// the end to be read, so the system is asked. Where such bytes lie it does not show the end, but the reactor
-    /// was told of that when it last looked.
+    /// Returns whether the client is connected at this moment. This asks the kernel, because the task of a
+    /// disconnecting client may still wait to be scheduled, or may still have to read the bytes before the
+    /// end. A peek does not show an end behind unread bytes; for those, the reactor's last report is used.
     pub fn is_connected(&self) -> bool {
         let Some(socket) = self.0.upgrade().map(ClientSocket) else { return false };
         let peeked = SockRef::from(socket.0.borrow().inner()).peek(&mut [MaybeUninit::uninit()]);
--- a/crates/proxy/src/transport/mod.rs
+++ b/crates/proxy/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Connections of either side: streams that observe themselves, and bodies that are streamed through.
+//! Connections to clients and backends: streams that record their progress, and streamed bodies.
 
 mod arrival;
 mod body;
@@ -23,20 +23,21 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A silent machine resets nothing: a write that makes no headway for so long has failed.
+/// A write that makes no progress for this long fails. A peer that has lost power or network sends no reset.
 pub const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest body that is forwarded, in either direction, in bytes.
+/// The maximum size of a forwarded request or response body, in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// Longest head in bytes. The HTTP library's buffer for heads and bodies grows to this size.
+/// The maximum size of a message head, in bytes. The HTTP library's buffer for heads and bodies grows to this
+/// size.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most lines in a head.
+/// The maximum number of header lines in a message head.
 pub const MAX_HEADERS: usize = 64;
-/// What the system may hold of what was written, in bytes. It says that there is space again only once a third of
-/// it is free: of the megabytes that it takes by itself, a slow reader needs longer for that than any stall may
-/// last.
+/// The send buffer size that is set on each socket, in bytes. The kernel reports a socket as writable again
+/// only once a third of its send buffer is free. With the kernel's own choice of several megabytes, a slow
+/// reader needs longer for that than [`WRITE_STALL_TIMEOUT`].
 const SEND_BUFFER_BYTES: usize = 128 * 1024;
 
-/// Prepares a connection, of either side, for small writes and for slow readers.
+/// Configures the socket of a client or backend connection for small writes and for slow readers.
 pub fn prepare(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_send_buffer_size(SEND_BUFFER_BYTES)
--- a/crates/proxy/src/transport/observed_stream.rs
+++ b/crates/proxy/src/transport/observed_stream.rs
@@ -1,5 +1,5 @@
-//! A stream that observes what is read and written: whether a request got out completely, whether the other side
-//! has stopped taking bytes, and since when it sends.
+//! A stream that records reads and writes: whether a request was written completely, whether the peer has
+//! stopped accepting bytes, and when the peer began to send.
 
 use super::arrival::ArrivalProbe;
 use super::progress::StreamProgress;
@@ -14,36 +14,36 @@
 use std::task::{Context, Poll, ready};
 use tokio::time::{Instant, Sleep, sleep};
 
-/// How much is read at once while a head is copied, in bytes.
+/// The maximum number of bytes per read while a head is copied.
 const HEAD_READ_BYTES: usize = 4096;
 
-/// A stream that observes what is read and written.
+/// A stream that records reads and writes.
 pub struct ObservedStream<S> {
     stream: S,
     progress: Rc<StreamProgress>,
     stall_timer: Option<Pin<Box<Sleep>>>,
-    /// As long as bytes may lie there that came before the connection was served.
+    /// Set as long as there may be unread bytes that arrived before the connection was served.
     arrival_probe: Option<ArrivalProbe>,
 }
 
 impl<S> ObservedStream<S> {
-    /// Observes a stream.
+    /// Wraps a stream.
     pub fn new(stream: S) -> Self {
         ObservedStream { stream, progress: Rc::default(), stall_timer: None, arrival_probe: None }
     }
 
-    /// Observes a new connection, on which bytes may have waited for some time: what is read of them counts from when
-    /// they came.
+    /// Wraps the stream of a new connection, on which bytes may have waited to be read. Those bytes count
+    /// from their arrival.
     pub fn with_arrivals(stream: S, arrival_probe: Option<ArrivalProbe>) -> Self {
         ObservedStream { arrival_probe, ..ObservedStream::new(stream) }
     }
 
-    /// What is observed.
+    /// Returns the recorded progress.
     pub fn progress(&self) -> Rc<StreamProgress> {
         self.progress.clone()
     }
 
-    /// Notes the result of a write, and fails one that makes no headway.
+    /// Records the result of a write. Fails the write if it makes no progress for [`WRITE_STALL_TIMEOUT`].
     fn observe_write(
         &mut self,
         context: &mut Context<'_>,
@@ -65,8 +65,8 @@
         result
     }
 
-    /// When the bytes came that a read of so many would find; none if they have not waited. Whatever comes after such
-    /// a read is read as it comes.
+    /// Returns when the bytes that a read of `read_bytes` bytes would return arrived, or `None` if they have
+    /// not waited. After the first `None`, all bytes count from the time of their read.
     fn waiting_since(&mut self, read_bytes: usize) -> Option<Instant> {
         let waiting_since = self.arrival_probe.as_ref()?.waiting_since(read_bytes);
         if waiting_since.is_none() {
@@ -86,8 +86,9 @@
 }
 
 impl<S: UnreadProbe> ObservedStream<S> {
-    /// Before the first byte of a request nothing may lie on its connection: a late second copy of the response
-    /// before would be taken for the response to this one. Nor may it have become unwanted.
+    /// Checks, before the first byte of a request, that the connection has no unread bytes and that the
+    /// request is still wanted. A late second copy of the previous response would be taken for the response
+    /// to this request.
     fn check_before_request(&self) -> io::Result<()> {
         let write = &self.progress.write;
         if !write.is_request_due.replace(false) {
@@ -102,7 +103,7 @@
 }
 
 impl<S: Read + Unpin> ObservedStream<S> {
-    /// Reads no more than so many bytes, and shows them.
+    /// Reads at most `most_bytes` bytes and passes them to `observe`.
     fn read_at_most(
         &mut self,
         context: &mut Context<'_>,
@@ -119,7 +120,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads, and keeps a copy of what belongs to a head.
+    /// Reads part of a head and keeps a copy of it.
     fn poll_read_head(
         &mut self,
         context: &mut Context<'_>,
@@ -135,7 +136,7 @@
         read
     }
 
-    /// Reads no further than a body goes: the head behind it is read by itself.
+    /// Reads no further than the end of the body, so that the head after it is read separately.
     fn poll_read_body(
         &mut self,
         context: &mut Context<'_>,
@@ -153,7 +154,7 @@
         read
     }
 
-    /// Reads what comes next: a body, a head or else.
+    /// Reads the next bytes of a body, of a head, or of a message that is not inspected.
     fn poll_read_message(
         &mut self,
         context: &mut Context<'_>,
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Reads what is not looked at.
+    /// Reads bytes that are not inspected.
     fn poll_read_other(
         &mut self,
         context: &mut Context<'_>,
--- a/crates/proxy/src/transport/progress.rs
+++ b/crates/proxy/src/transport/progress.rs
@@ -1,37 +1,39 @@
-//! How far the messages on a connection have got.
+//! The progress of the messages on a connection.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 use std::task::Waker;
 use tokio::time::Instant;
 
-/// Tells whether what is about to be sent is still allowed and wanted.
+/// Returns whether a request that is about to be sent is still allowed and wanted.
 pub type SendGuard = Rc<dyn Fn() -> bool>;
-/// Lives for as long as a request's answer is pending, and then tells whether its client is still connected.
+/// Returns whether the client is still connected. It can be upgraded as long as the request's final answer is
+/// pending.
 pub type WeakSendGuard = Weak<dyn Fn() -> bool>;
 
-/// How far the messages on a connection have got, in both directions.
+/// The progress of the messages on a connection, in both directions.
 #[derive(Default)]
 pub struct StreamProgress {
     pub(super) read: ReadProgress,
     pub(super) write: WriteProgress,
 }
 
-/// What has been read.
+/// The progress of reading.
 #[derive(Default)]
 pub(super) struct ReadProgress {
     pub(super) first_byte_at: Cell<Option<Instant>>,
     pub(super) last_byte_at: Cell<Option<Instant>>,
-    /// A copy of the head that is being read, where one is kept.
+    /// A copy of the head that is being read, if a copy is wanted.
     pub(super) head: RefCell<Option<Vec<u8>>>,
-    /// How many bytes of a body come before the next head, where that is known.
+    /// The number of bytes of the body before the next head, if known.
     pub(super) body_remaining: Cell<Option<u64>>,
-    /// The last read found nothing.
+    /// Whether the last read was pending.
     pub(super) is_pending: Cell<bool>,
 }
 
 impl ReadProgress {
-    /// So many bytes of the body were read. Where a head is expected behind it, that is a new message.
+    /// Subtracts bytes of the body that were read. If a head is expected after the body, the end of the body
+    /// starts a new message.
     pub(super) fn count_body(&self, bytes: usize) {
         let remaining = self.body_remaining.get().map(|remaining| remaining.saturating_sub(bytes as u64));
         self.body_remaining.set(remaining);
@@ -41,74 +43,75 @@
     }
 }
 
-/// What has been written.
+/// The progress of writing.
 #[derive(Default)]
 pub(super) struct WriteProgress {
-    /// A request is about to be written.
+    /// Whether a new request is about to be written.
     pub(super) is_request_due: Cell<bool>,
     pub(super) has_begun: Cell<bool>,
     pub(super) is_body_taken: Cell<bool>,
     pub(super) is_flushed: Cell<bool>,
     pub(super) has_unsent: Cell<bool>,
-    /// Asked right before the first byte of a request.
+    /// Called right before the first byte of a request.
     pub(super) guard: RefCell<Option<SendGuard>>,
-    /// Whoever waits for the first byte of the request to be written.
+    /// The task that waits for the first byte of the request to be written.
     pub(super) first_byte_waiter: RefCell<Option<Waker>>,
 }
 
 impl StreamProgress {
-    /// So many bytes of a body come before the next head, if that is known.
+    /// Sets the number of bytes of the body before the next head, if known.
     pub fn expect_body(&self, remaining: Option<u64>) {
         self.read.body_remaining.set(remaining);
     }
 
-    /// Whether it is known where the present body ends, so that the head behind it can be seen alone.
+    /// Returns whether the end of the current body is known, so that the head after it can be read
+    /// separately.
     pub fn is_body_end_known(&self) -> bool {
         self.read.body_remaining.get().is_some()
     }
 
-    /// A head is expected, from now on or behind the rest of a body, and a copy of it is kept.
+    /// Expects a head, either now or after the rest of a body, and keeps a copy of it.
     pub fn expect_head(&self) {
         self.read.head.replace(Some(Vec::new()));
     }
 
-    /// The copy of a head; empty if it was read together with what came before it.
+    /// Takes the copy of the head. It is empty if the head was read together with the bytes before it.
     pub fn take_head(&self) -> Vec<u8> {
         self.read.head.take().unwrap_or_default()
     }
 
-    /// When the latest bytes of the other side were read.
+    /// Returns when the last bytes from the peer were read.
     pub fn last_byte_at(&self) -> Option<Instant> {
         self.read.last_byte_at.get()
     }
 
-    /// When the first byte of the present message was read.
+    /// Returns when the first byte of the current message was read.
     pub fn first_byte_at(&self) -> Option<Instant> {
         self.read.first_byte_at.get()
     }
 
-    /// Whether the HTTP library waits for more bytes. It asks for them only once it has taken what it can of those that
-    /// it has read.
+    /// Returns whether the HTTP library waits for more bytes. It reads again only after it has processed all
+    /// that it can of the bytes that it has.
     pub fn is_read_pending(&self) -> bool {
         self.read.is_pending.get()
     }
 
-    /// What comes from now on is a new message.
+    /// Starts a new message with the next byte.
     pub fn expect_message(&self) {
         self.read.first_byte_at.set(None);
     }
 
-    /// Whether something is written that the system has not taken yet.
+    /// Returns whether there are bytes that the kernel has not accepted yet.
     pub fn has_unsent(&self) -> bool {
         self.write.has_unsent.get()
     }
 
-    /// The next request is sent only if the guard allows it by then.
+    /// Sets the guard that must allow the next request right before it is sent.
     pub fn guard_next_request(&self, guard: SendGuard) {
         self.write.guard.replace(Some(guard));
     }
 
-    /// A new request is about to be written.
+    /// Records that a new request is about to be written.
     pub fn begin_request(&self) {
         self.write.is_request_due.set(true);
         self.write.is_body_taken.set(false);
@@ -116,13 +119,13 @@
         self.write.is_flushed.set(false);
     }
 
-    /// Whether a byte of the request was given to the system.
+    /// Returns whether any byte of the request was written to the socket.
     pub fn has_begun(&self) -> bool {
         self.write.has_begun.get()
     }
 
-    /// Whether the request's last byte was given to the system. The HTTP library flushes a stream only once all
-    /// that it has buffered is written, and by then it has taken the body.
+    /// Returns whether the last byte of the request was written to the socket. The HTTP library flushes a
+    /// stream only after it has written its whole buffer, and by then it has taken the whole body.
     pub fn is_request_complete(&self) -> bool {
         self.write.is_flushed.get()
     }
--- a/crates/proxy/src/transport/request_body.rs
+++ b/crates/proxy/src/transport/request_body.rs
@@ -1,4 +1,4 @@
-//! A request's body as it is written to a backend.
+//! The body of a request as it is written to a backend.
 
 use super::body::{BodyContent, StreamedUpload};
 use super::progress::StreamProgress;
@@ -9,24 +9,25 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 
-/// What is sent as a request's body.
+/// The body of a client's request.
 pub enum RequestPayload {
-    /// All of it.
+    /// The complete body.
     Buffered(Bytes),
-    /// It is streamed through.
+    /// A body that is forwarded as it arrives.
     Streamed(Rc<StreamedUpload>),
 }
 
-/// A request's body as it is written; notes when the HTTP library has taken it.
+/// The body of a request that is being written. It records when the HTTP library has taken all of it.
 pub struct RequestBody {
     content: Option<BodyContent>,
-    /// Where a streamed body is returned to if nothing of it was sent.
+    /// Where a streamed body is put back if nothing of it was sent.
     upload: Option<Rc<StreamedUpload>>,
     progress: Rc<StreamProgress>,
 }
 
 impl RequestBody {
-    /// The body of the request that is about to be written; none if an attempt before this one has had it.
+    /// Creates the body of a request that is about to be written. Returns `None` if an earlier attempt has
+    /// taken the body.
     pub fn new(payload: &RequestPayload, progress: Rc<StreamProgress>) -> Option<Self> {
         let (content, upload) = match payload {
             RequestPayload::Buffered(data) => (BodyContent::buffered(data.clone()), None),
@@ -35,7 +36,7 @@
             }
         };
         progress.begin_request();
-        // The library does not ask for a body that is empty.
+        // The HTTP library does not poll an empty body.
         progress.write.is_body_taken.set(content.is_end_stream());
         Some(RequestBody { content: Some(content), upload, progress })
     }
@@ -43,7 +44,8 @@
 
 impl Drop for RequestBody {
     fn drop(&mut self) {
-        // Of a request that was never begun nothing was taken: the next attempt may have its body.
+        // No byte of the request was written, so nothing was taken from its body and the next attempt can
+        // send it.
         if self.progress.has_begun() {
             return;
         }
@@ -63,8 +65,8 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let this = &mut *self;
         let write = &this.progress.write;
-        // A kept connection may turn out to be closed at its first byte. Until that is written a streamed body stays
-        // whole, for another connection.
+        // A reused connection may turn out to be closed when the first byte is written. A streamed body stays
+        // complete until then, so that it can be sent over another connection.
         if this.upload.is_some() && !write.has_begun.get() {
             write.first_byte_waiter.replace(Some(context.waker().clone()));
             return Poll::Pending;
--- a/crates/proxy/src/transport/tests.rs
+++ b/crates/proxy/src/transport/tests.rs
@@ -17,25 +17,25 @@
     }
 }
 
-/// Sends a request with a body over a pipe, lets `other` do what it wants with the far end, and tells
-/// whether the request got out whole before the connection broke.
+/// Sends a request with a body over an in-memory connection whose far end is driven by `other` and then
+/// closed. Returns whether the request was written completely before that.
 async fn broken_after(body: usize, other: impl AsyncFnOnce(&mut DuplexStream)) -> bool {
     let (near, mut far) = duplex(1024);
     LocalSet::new()
         .run_until(async {
             let stream = ObservedStream::new(TokioIo::new(near));
             let progress = stream.progress();
-            let (mut sender, connection) = handshake(stream).await.expect("nothing is sent yet");
+            let (mut sender, connection) = handshake(stream).await.expect("handshake");
             spawn_local(async move {
                 let _ = connection.await;
             });
             let payload = RequestPayload::Buffered(vec![b'x'; body].into());
-            let body = RequestBody::new(&payload, progress.clone()).expect("whole");
-            let request = Request::post("/").header("host", "b").body(body).expect("well formed");
+            let body = RequestBody::new(&payload, progress.clone()).expect("the body is available");
+            let request = Request::post("/").header("host", "b").body(body).expect("valid request");
             let answer = spawn_local(async move { sender.send_request(request).await.is_ok() });
             other(&mut far).await;
             drop(far);
-            assert!(!answer.await.expect("no panic"), "nobody answers");
+            assert!(!answer.await.expect("no panic"), "the far end never responds");
             progress.is_request_complete()
         })
         .await
@@ -44,13 +44,13 @@
 async fn read_request(far: &mut DuplexStream, body: usize) {
     let mut seen = Vec::new();
     while !seen.windows(4).any(|w| w == b"\r\n\r\n") || !seen.ends_with(&vec![b'x'; body]) {
-        assert_ne!(far.read_buf(&mut seen).await.expect("open"), 0, "the request breaks off");
+        assert_ne!(far.read_buf(&mut seen).await.expect("open connection"), 0, "the request is truncated");
     }
 }
 
 #[tokio::test]
 async fn a_request_cut_short_never_ran() {
-    // The far end takes a part of the body; the rest is still with the HTTP library.
+    // The far end reads a part of the body. The HTTP library still has the rest.
     assert!(!broken_after(60_000, async |far| drop(far.read(&mut [0; 512]).await)).await);
     assert!(!broken_after(60_000, async |_| {}).await);
 }
@@ -63,43 +63,44 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_write_that_makes_no_headway_fails() {
-    // The far end stays open and takes nothing: only the time limit ends this.
+    // The far end stays open and reads nothing, so only the timeout ends the write.
     assert!(!broken_after(60_000, async |_| sleep(WRITE_STALL_TIMEOUT * 2).await).await);
     let (near, _far) = duplex(8);
     let mut stream = ObservedStream::new(TokioIo::new(near));
     let write = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, &[0; 8]));
-    assert_eq!(write.await.expect("there is room"), 8);
+    assert_eq!(write.await.expect("buffer space"), 8);
     let write = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, &[0; 8]));
-    assert_eq!(write.await.expect_err("nobody reads").kind(), io::ErrorKind::TimedOut);
+    assert_eq!(write.await.expect_err("stalled write").kind(), io::ErrorKind::TimedOut);
 }
 
 #[tokio::test]
 async fn whether_a_client_is_connected_is_known_at_once() {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("bound");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let addr = listener.local_addr().expect("bound socket");
     let pair = async || {
-        let far = TcpStream::connect(addr).await.expect("it listens");
-        let (near, _) = listener.accept().await.expect("it came");
+        let far = TcpStream::connect(addr).await.expect("connect");
+        let (near, _) = listener.accept().await.expect("accept");
         let near = ClientSocket::new(near);
         (near.liveness(), near, far)
     };
-    let end = |far: &TcpStream| SockRef::from(far).shutdown(std::net::Shutdown::Write).expect("open");
+    let end =
+        |far: &TcpStream| SockRef::from(far).shutdown(std::net::Shutdown::Write).expect("open connection");
 
     let (liveness, _near, far) = pair().await;
     assert!(liveness.is_connected());
-    assert_eq!(far.try_write(b"more").expect("there is room"), 4);
-    assert!(liveness.is_connected(), "bytes are no end");
-    // No wait lies between: neither the reactor nor any task has heard of it.
+    assert_eq!(far.try_write(b"more").expect("buffer space"), 4);
+    assert!(liveness.is_connected(), "unread bytes are not a close");
+    // Nothing is awaited in between, so neither the reactor nor another task has seen the close.
     let (liveness, _near, far) = pair().await;
     end(&far);
     assert!(!liveness.is_connected());
     let (liveness, _near, far) = pair().await;
-    SockRef::from(&far).set_linger(Some(Duration::ZERO)).expect("open");
+    SockRef::from(&far).set_linger(Some(Duration::ZERO)).expect("open connection");
     drop(far);
     assert!(!liveness.is_connected(), "reset");
-    // Of an end behind bytes that lie unread the reactor has to tell first.
+    // The reactor has to report a close behind unread bytes first.
     let (liveness, _near, far) = pair().await;
-    assert_eq!(far.try_write(b"more").expect("there is room"), 4);
+    assert_eq!(far.try_write(b"more").expect("buffer space"), 4);
     end(&far);
     sleep(Duration::ZERO).await;
     while liveness.is_connected() {
@@ -107,15 +108,15 @@
     }
     let (liveness, near, _far) = pair().await;
     drop(near);
-    assert!(!liveness.is_connected(), "this side has let go");
+    assert!(!liveness.is_connected(), "the socket was dropped");
 }
 
 #[tokio::test]
 async fn nothing_is_written_where_something_lies_unread() {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("bound");
-    let near = TcpStream::connect(addr).await.expect("it listens");
-    let (mut far, _) = listener.accept().await.expect("it came");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let addr = listener.local_addr().expect("bound socket");
+    let near = TcpStream::connect(addr).await.expect("connect");
+    let (mut far, _) = listener.accept().await.expect("accept");
     let mut stream = ObservedStream::new(TokioIo::new(near));
     let progress = stream.progress();
     let mut write = async |fresh: bool| {
@@ -124,21 +125,22 @@
         }
         std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, b"request")).await
     };
-    assert_eq!(write(true).await.expect("clean"), 7);
-    // A late answer, of which nobody here has been told. In the middle of a request it is no reason to stop.
-    far.write_all(b"late").await.expect("open");
-    assert_eq!(write(false).await.expect("it goes on"), 7);
-    assert_eq!(write(true).await.expect_err("unclean").kind(), io::ErrorKind::InvalidData);
+    assert_eq!(write(true).await.expect("no unread bytes"), 7);
+    // A late response has arrived without the reactor's knowledge. It stops a new request but not one that is
+    // already being written.
+    far.write_all(b"late").await.expect("open connection");
+    assert_eq!(write(false).await.expect("continued request"), 7);
+    assert_eq!(write(true).await.expect_err("unread bytes").kind(), io::ErrorKind::InvalidData);
     assert!(!progress.has_begun());
 }
 
-/// So long bytes wait in these tests; the system's clock may tell it this exactly.
+/// How long the bytes wait in these tests. The kernel's clock may differ by `CLOCK_SLACK`.
 const WAIT: Duration = Duration::from_millis(50);
 const CLOCK_SLACK: Duration = Duration::from_millis(10);
-/// The system begins to stamp a moment after it is first asked to.
+/// The kernel starts to add timestamps a moment after they are enabled.
 const STAMP_TRIES: usize = 20;
 
-/// Both ends of a new connection on which bytes have waited, and the times between which they came.
+/// Both ends of a new connection on which bytes have waited, and the limits of their arrival time.
 struct WaitingBytes {
     near: ClientSocket,
     _far: TcpStream,
@@ -147,16 +149,16 @@
 }
 
 async fn waiting_bytes(is_stamped: bool) -> WaitingBytes {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("free port");
     if is_stamped {
-        assert!(stamp_arrivals(&listener), "the system stamps");
+        assert!(stamp_arrivals(&listener), "receive timestamps can be enabled");
     }
-    let mut far = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("it listens");
+    let mut far = TcpStream::connect(listener.local_addr().expect("bound socket")).await.expect("connect");
     let sent_after = Instant::now();
-    far.write_all(b"request").await.expect("open");
+    far.write_all(b"request").await.expect("open connection");
     let sent_before = Instant::now();
     sleep(WAIT).await;
-    let (near, _) = listener.accept().await.expect("it came");
+    let (near, _) = listener.accept().await.expect("accept");
     WaitingBytes { near: ClientSocket::new(near), _far: far, sent_after, sent_before }
 }
 
@@ -170,23 +172,24 @@
         assert!(came_at <= bytes.sent_before + CLOCK_SLACK, "{:?} too late", came_at - bytes.sent_before);
         return;
     }
-    panic!("nothing is stamped");
+    panic!("no arrival time was reported");
 }
 
-/// Guards against the stamps of a clock that differs from the program's, which would take time from requests.
+/// Guards against timestamps of a clock that differs from the program's: they would shorten the time that
+/// requests have left.
 #[tokio::test]
 async fn a_stamp_from_before_a_connection_can_have_come_is_not_believed() {
     for _ in 0..STAMP_TRIES {
         let bytes = waiting_bytes(true).await;
         let impossible = ArrivalProbe::new(bytes.near.clone(), Instant::now());
         assert_eq!(impossible.waiting_since(MAX_HEAD_BYTES), None);
-        // The same stamp is believed where it is possible.
+        // The same timestamp is accepted where it is possible.
         let possible = ArrivalProbe::new(bytes.near.clone(), bytes.sent_after);
         if possible.waiting_since(MAX_HEAD_BYTES).is_some() {
             return;
         }
     }
-    panic!("nothing is stamped");
+    panic!("no arrival time was reported");
 }
 
 #[tokio::test]
@@ -196,41 +199,44 @@
     assert_eq!(probe.waiting_since(MAX_HEAD_BYTES), None);
 }
 
-/// Whoever reads the body of a request that is over waits for ever until its next piece is taken.
+/// Guards against a reader of the client's body that waits forever for its next frame to be taken after the
+/// request has ended.
 #[tokio::test]
 async fn nobody_takes_the_frames_of_an_upload_whose_request_is_over() {
     let (frames, upload) = StreamedUpload::new(None, Duration::ZERO);
     let status = upload.status().clone();
-    frames.send(Some("first".into())).await.expect("space for one");
+    frames.send(Some("first".into())).await.expect("channel capacity");
     let (sent, ()) = tokio::join!(frames.send(Some("second".into())), async { drop(upload) });
     assert!(sent.is_err());
-    // What becomes of the rest is still told.
+    // The result of the body can still be recorded.
     status.finish(Err(hyper::StatusCode::PAYLOAD_TOO_LARGE));
     assert_eq!(status.failure(), Some(hyper::StatusCode::PAYLOAD_TOO_LARGE));
 }
 
-/// The head behind a body is copied alone, also where both lie there at once.
+/// Guards against a head that is copied together with the body before it when both arrive at once.
 #[tokio::test]
 async fn a_read_goes_no_further_than_the_body_before_a_head() {
     const BODY: &[u8] = b"the rest of a body";
     const HEAD: &[u8] = b"GET /next HTTP/1.1\r\n\r\n";
     let (near, mut far) = duplex(1024);
-    far.write_all(&[BODY, HEAD].concat()).await.expect("space");
+    far.write_all(&[BODY, HEAD].concat()).await.expect("buffer space");
     let mut stream = ObservedStream::new(TokioIo::new(near));
     let progress = stream.progress();
     progress.expect_body(Some(BODY.len() as u64));
     progress.expect_head();
     assert_eq!(read(&mut stream).await, BODY);
-    assert_eq!(progress.first_byte_at(), None, "what comes next is a new message");
+    assert_eq!(progress.first_byte_at(), None, "the next byte starts a new message");
     assert_eq!(read(&mut stream).await, HEAD);
     assert!(progress.first_byte_at().is_some());
     assert_eq!(progress.take_head(), HEAD);
 }
 
-/// What one read gives.
+/// Returns the bytes of one read.
 async fn read(stream: &mut ObservedStream<TokioIo<DuplexStream>>) -> Vec<u8> {
     let mut space = [0; 1024];
     let mut buffer = hyper::rt::ReadBuf::new(&mut space);
-    poll_fn(|context| Pin::new(&mut *stream).poll_read(context, buffer.unfilled())).await.expect("open");
+    poll_fn(|context| Pin::new(&mut *stream).poll_read(context, buffer.unfilled()))
+        .await
+        .expect("open connection");
     buffer.filled().to_vec()
 }
