--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: when it must end, who may cancel it, and how it ended.
+//! One attempt of a request: when it expires, who may cancel it, and how it ended.
 
 use super::attempt_outcome::{AttemptOutcome, FinishedAttempt};
 use super::connection::{Connection, IdleCheck};
@@ -15,23 +15,23 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until};
 
-/// One attempt.
+/// One attempt of a request.
 pub struct Attempt {
     /// The request.
     pub request: Rc<UpstreamRequest>,
-    /// Where it is sent.
+    /// The backend process that it is sent to.
     pub endpoint: Rc<Endpoint>,
     /// When it is abandoned.
     pub expires_at: Instant,
-    /// Whether anybody still waits for it.
+    /// Reports whether the client still waits for the final answer.
     pub client: WeakSendGuard,
-    /// Cancels it.
+    /// Cancels the attempt.
     pub cancelled: oneshot::Receiver<()>,
 }
 
 impl Attempt {
-    /// Carries the attempt out and tells how it ended. The connection of one that is abandoned is closed: that is
-    /// how a backend learns that nobody waits, so that it stops the work and frees the slot.
+    /// Runs the attempt and returns how it ended. The connection of an abandoned attempt is closed. This
+    /// tells the backend that the response is no longer wanted, so that it stops the work and frees the slot.
     pub async fn run(self, pool: Rc<ConnectionPool>) -> FinishedAttempt {
         let Attempt { request, endpoint, expires_at, client, cancelled } = self;
         let guard = send_guard(&pool, &endpoint, client);
@@ -47,8 +47,9 @@
     }
 }
 
-/// Whatever an attempt has to wait for, its request may be over by then, or its client gone unnoticed, and the
-/// backend may have been told to drain: half the deadline leaves time for a late loop and a slow write.
+/// Returns the check that is made right before a request is sent. While an attempt waits for a connection,
+/// its request may complete, its client may disconnect unnoticed, or the backend may begin to drain. Half the
+/// drain deadline leaves time for a delayed event loop and a slow write.
 fn send_guard(pool: &ConnectionPool, endpoint: &Rc<Endpoint>, client: WeakSendGuard) -> SendGuard {
     let drain_deadline = pool.drain_deadline();
     let endpoint = endpoint.clone();
@@ -59,7 +60,7 @@
     })
 }
 
-/// Comes back when a response is too late. The time of a body that is streamed through counts from its last byte.
+/// Waits until the response is too late. For a streamed body the client timeout counts from the last byte.
 async fn expired(request: &UpstreamRequest, expires_at: Instant) {
     let expires_after_body = async {
         let completed_at = match &request.body {
@@ -69,7 +70,7 @@
                 status.completed().await.map(|completed_at| completed_at + status.client_timeout)
             }
         };
-        // One that breaks off is no reason to wait for less.
+        // An incomplete body does not shorten the wait.
         sleep_until(completed_at.unwrap_or(expires_at)).await;
     };
     tokio::select! {
@@ -78,14 +79,14 @@
     }
 }
 
-/// A request that is sent, and its response.
+/// The exchange of a request and its response with a backend.
 struct Exchange {
     pool: Rc<ConnectionPool>,
     request: Rc<UpstreamRequest>,
     endpoint: Rc<Endpoint>,
     expires_at: Instant,
     guard: SendGuard,
-    /// For how long the response was held by this proxy.
+    /// How long this proxy held back the response.
     held_for: Cell<Duration>,
 }
 
@@ -95,7 +96,7 @@
             Ok((connection, response)) => self.receive(connection, response).await,
             Err(outcome) => AttemptOutcome::Unserved(outcome),
         };
-        // Whatever came of it, a client that did not send a complete body is at fault.
+        // Unless the request was served, the client is at fault if it did not send a complete and valid body.
         match self.request.upload().and_then(|upload| upload.status().failure()) {
             Some(status) if !matches!(outcome, AttemptOutcome::Served(_)) => {
                 AttemptOutcome::InvalidRequest(status)
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Sends the request, over a connection that is kept or a new one.
+    /// Sends the request over an idle connection or a new one.
     async fn send(&self) -> Result<(Connection, Response<Incoming>), Outcome> {
         loop {
             let kept = self.pool.take_idle(&self.endpoint);
@@ -125,10 +126,10 @@
             if !has_begun && !(self.guard)() {
                 return Err(Outcome::NotSent);
             }
-            // A kept connection that turned out to be closed, or to hold bytes that are no response to this: not a
-            // byte of the request was written, so that it is sent over another one.
+            // An idle connection turned out to be closed, or to have unread bytes that cannot be the
+            // response. Nothing of the request was written, so it is sent over another connection.
             if has_begun || !is_kept {
-                // Only the connection knows whether the backend can have the complete request.
+                // The stream's progress shows whether the backend can have received the complete request.
                 let may_have_run = connection.progress.is_request_complete();
                 return Err(if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed });
             }
@@ -137,9 +138,10 @@
 
     /// Reads the response as far as it is buffered, and streams the rest of a long one.
     async fn receive(&self, mut connection: Connection, response: Response<Incoming>) -> AttemptOutcome {
-        // The request may have run, and what is on this connection is of no use.
+        // The request may have run, and the connection can't be used again.
         let corrupt = AttemptOutcome::Unserved(Outcome::Reset);
-        // Backends begin a request with its last byte: what serves it before that belongs to another.
+        // Backends begin to serve a request when its last byte arrives. A 200 response before that belongs to
+        // another request.
         if response.status() == StatusCode::OK && !connection.progress.is_request_complete() {
             return corrupt;
         }
@@ -162,7 +164,7 @@
 
     fn stream(&self, connection: Connection, begun: PartialResponse, body: Incoming) -> AttemptOutcome {
         if !matches!(begun.outcome, AttemptOutcome::Served(_)) {
-            // Nobody wants the rest of it.
+            // Only served responses are forwarded, so the rest of the body is not read.
             return begun.outcome;
         }
         let (frames, streamed) = StreamedBody::new(begun.length);
--- a/crates/proxy/src/upstream/attempt_outcome.rs
+++ b/crates/proxy/src/upstream/attempt_outcome.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended, and what the balancer is told of it.
+//! How an attempt ended, and the outcome that is reported to the balancer.
 
 use crate::transport::BodyContent;
 use foldhitch_balancer::api::Outcome;
@@ -7,22 +7,23 @@
 
 /// How an attempt ended.
 pub enum AttemptOutcome {
-    /// With a response to forward.
+    /// The backend served the request; this is the body to forward.
     Served(BodyContent),
-    /// Its client did not send a complete request.
+    /// The client did not send a complete and valid request; this is the status to respond with.
     InvalidRequest(StatusCode),
-    /// Rejected as a request that no backend can use.
+    /// The backend rejected the request as one that no backend can serve.
     Rejected,
-    /// Otherwise.
+    /// Any other outcome.
     Unserved(Outcome),
 }
 
 impl AttemptOutcome {
-    /// What the balancer is told of it.
+    /// Returns the outcome that is reported to the balancer.
     pub fn outcome(&self) -> Outcome {
         match self {
             AttemptOutcome::Served(_) => Outcome::Ok,
-            // The request's fault: it says nothing of the backend, and another would say the same.
+            // The request is at fault: this tells nothing about the backend, and another backend would reject
+            // it too.
             AttemptOutcome::Rejected | AttemptOutcome::InvalidRequest(_) => Outcome::Cancelled,
             AttemptOutcome::Unserved(outcome) => *outcome,
         }
@@ -31,8 +32,8 @@
 
 /// An attempt that has ended.
 pub struct FinishedAttempt {
-    /// How.
+    /// How it ended.
     pub outcome: AttemptOutcome,
-    /// For how long this proxy held the response: none of the backend's time.
+    /// How long this proxy held back the response. This does not count as the backend's time.
     pub held_for: Duration,
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -14,33 +14,35 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-/// Once its response is read a connection is free in no time, unless the request itself is still being written.
+/// How long to wait for the HTTP library to be ready for another request. It is ready right after the
+/// response was read, unless the request is still being written.
 const IDLE_CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A connection that carries one request at a time; closed when dropped, with whatever is in flight on it.
+/// A connection that carries one request at a time. Dropping it closes the connection, even with a request in
+/// flight.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<RequestBody>,
     pub(super) progress: Rc<StreamProgress>,
-    /// What was read and belongs to no response, once the connection has ended.
+    /// Bytes that were read but belong to no response, set when the connection ends.
     leftover: Rc<RefCell<Bytes>>,
     filter: Rc<RefCell<RepeatFilter>>,
     repeat_history: Rc<RepeatHistory>,
     task: AbortHandle,
 }
 
-/// What a connection is good for behind a response.
+/// What a connection can be used for after a response.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum IdleCheck {
-    /// For the next request.
+    /// The connection can carry another request.
     Reusable,
-    /// For nothing more.
+    /// The connection can't be used again.
     Finished,
-    /// The response itself is not what it seemed.
+    /// The response itself is corrupt.
     ResponseCorrupt,
 }
 
 impl Connection {
-    /// Speaks HTTP on a stream, in a task of its own that holds `permit` as long as it runs.
+    /// Starts HTTP on a stream, in a separate task that holds `permit` as long as it runs.
     pub(super) async fn new(
         stream: TcpStream,
         permit: OwnedSemaphorePermit,
@@ -59,7 +61,7 @@
         let unread = leftover.clone();
         let task = tokio::task::spawn_local(async move {
             let _permit = permit;
-            // Its end shows at the sender, where it has a meaning.
+            // An error of the connection also reaches the sender, where it is handled.
             let _ = poll_fn(|context| connection.poll_without_shutdown(context)).await;
             unread.replace(connection.into_parts().read_buf);
         });
@@ -67,9 +69,9 @@
         Ok(Connection { sender, progress, leftover, filter, repeat_history, task })
     }
 
-    /// Sees what came behind a response before that counts. The HTTP library ends a body where its length says: if
-    /// the length was too short, the rest of the body lies there, and the response would be forwarded cut off. A
-    /// second response behind the first is no fault of the first.
+    /// Checks the bytes after a response before the response is used. The HTTP library ends a body at its
+    /// declared length. If that length is too short, the rest of the body follows, and the response would be
+    /// forwarded truncated. A second response after the first does not make the first one corrupt.
     pub(super) async fn check_idle(&mut self) -> IdleCheck {
         match timeout(IDLE_CHECK_TIMEOUT, self.sender.ready()).await {
             Ok(Ok(())) => IdleCheck::Reusable,
@@ -86,27 +88,27 @@
         }
     }
 
-    /// The response to the next request is waited for until then.
+    /// Sets when the response to the next request expires.
     pub(super) fn expect_response_until(&self, expires_at: Instant) {
         self.filter.borrow_mut().expect_response_until(expires_at);
     }
 
-    /// For how long the present response was held, which is none of the backend's time.
+    /// Returns how long the current response was held back. This does not count as the backend's time.
     pub(super) fn held_for(&self) -> Duration {
         self.filter.borrow().held_for()
     }
 
-    /// The response is read, and the connection could be used again.
+    /// Records that a response was read completely on a connection that may be reused.
     pub(super) fn finish_response(&self, is_error: bool) {
         self.filter.borrow_mut().finish_response(is_error, &self.repeat_history, Instant::now());
     }
 
-    /// Whether the connection can carry another request, now or later.
+    /// Returns whether the connection can carry another request, now or after its cooldown.
     pub(super) fn is_usable(&self, now: Instant) -> bool {
         self.sender.is_ready() && !self.filter.borrow().is_unusable(&self.repeat_history, now)
     }
 
-    /// Whether the connection is not to be used yet.
+    /// Returns whether the connection must not be used yet.
     pub(super) fn is_resting(&self, now: Instant) -> bool {
         self.filter.borrow().is_resting(now)
     }
--- a/crates/proxy/src/upstream/connection_pool.rs
+++ b/crates/proxy/src/upstream/connection_pool.rs
@@ -1,4 +1,4 @@
-//! The connections to all backends.
+//! The pool of connections to all backends.
 
 use super::connection::Connection;
 use super::repeat_filter::{DistinctRun, RepeatHistory};
@@ -15,53 +15,53 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::{Instant, timeout};
 
-/// Idle connections are closed at this share of the time after which backends close them.
+/// The fraction of the backends' idle timeout after which idle connections are closed.
 const MAX_IDLE_FRACTION: f64 = 0.5;
 
-/// One process of a backend: where it is reached, and since when it is known to drain or be gone.
+/// One process of a backend: its address, and since when it is known to be draining or stopped.
 pub struct Endpoint {
-    /// Its number in the pool. Another process may be reached at the same address.
+    /// Identifies the endpoint within the pool. Another process may have the same address later.
     number: u64,
-    /// Its address.
+    /// The address of the process.
     pub address: SocketAddr,
-    /// When its process started, as discovery tells it: Unix time in milliseconds.
+    /// When the process started according to discovery, in Unix milliseconds.
     pub started_at_ms: f64,
-    /// When this proxy was notified that it takes nothing new.
+    /// When this proxy learned that the process accepts no new requests.
     pub draining_since: Cell<Option<Instant>>,
-    /// Whether it sends responses twice.
+    /// Whether the process sends copies of its responses.
     pub(super) repeat_history: Rc<RepeatHistory>,
 }
 
 impl Endpoint {
-    /// Whether it takes nothing new.
+    /// Returns whether the process accepts no new requests.
     pub fn is_draining(&self) -> bool {
         self.draining_since.get().is_some()
     }
 }
 
-/// What the pool keeps to.
+/// The limits of the pool.
 #[derive(Clone, Copy)]
 pub struct PoolLimits {
-    /// Most connections at once, to begin with.
+    /// The initial maximum number of connections.
     pub connections: usize,
-    /// A connect that takes longer has failed.
+    /// How long a connect may take before it fails.
     pub connect_timeout: Duration,
-    /// Backends close connections that are idle for so long.
+    /// The idle timeout of the backends.
     pub idle_timeout: Duration,
-    /// Nothing is sent later than this after the notice of a drain.
+    /// How long after the notice of a drain a request may still be sent.
     pub drain_deadline: Duration,
 }
 
-/// The connections to all backends.
+/// The pool of connections to all backends.
 pub struct ConnectionPool {
     limits: Cell<PoolLimits>,
     next_endpoint: Cell<u64>,
-    /// By the endpoint's number.
+    /// Idle connections by the endpoint's number, least recently used first.
     idle: RefCell<HashMap<u64, Vec<IdleConnection>>>,
     permits: Arc<Semaphore>,
-    /// How many permits there are.
+    /// The number of permits, both available and in use.
     size: Cell<usize>,
-    /// How often the tier's backends give equal responses.
+    /// How often the tier's backends send equal responses to different requests.
     distinct_run: Rc<DistinctRun>,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl ConnectionPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(limits: PoolLimits) -> Self {
         ConnectionPool {
             limits: Cell::new(limits),
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Takes permits away, as far as they are free or held by idle connections, or adds some. Tells whether it is
-    /// done; those in use come free later.
+    /// Changes the maximum number of connections. Removes permits as far as they are available or held by
+    /// idle connections. Returns whether the new size is reached; permits in use become available later.
     pub fn resize(&self, connections: usize) -> bool {
         let size = self.size.get();
         if connections >= size {
@@ -96,7 +96,7 @@
         let removed = self.permits.forget_permits(surplus);
         self.size.set(size - removed);
         for _ in removed..surplus {
-            // A permit comes free a moment after its connection was closed.
+            // A permit becomes available a moment after its connection was closed.
             if !self.evict_oldest_idle() {
                 break;
             }
@@ -104,18 +104,18 @@
         removed == surplus
     }
 
-    /// Keeps to other times from now on; how many connections there may be, [`resize`](Self::resize) says.
+    /// Changes the timeouts. The number of connections is changed by [`resize`](Self::resize).
     pub fn set_timeouts(&self, connect_timeout: Duration, idle_timeout: Duration, drain_deadline: Duration) {
         let limits = self.limits.get();
         self.limits.set(PoolLimits { connect_timeout, idle_timeout, drain_deadline, ..limits });
     }
 
-    /// Nothing is sent later than this after the notice of a drain.
+    /// Returns how long after the notice of a drain a request may still be sent.
     pub fn drain_deadline(&self) -> Duration {
         self.limits.get().drain_deadline
     }
 
-    /// A process to send to.
+    /// Creates an endpoint for a process of a backend.
     pub fn endpoint(&self, address: SocketAddr, started_at_ms: f64) -> Endpoint {
         let number = self.next_endpoint.get();
         self.next_endpoint.set(number + 1);
@@ -124,13 +124,14 @@
         Endpoint { number, address, started_at_ms, draining_since, repeat_history }
     }
 
-    /// Closes the idle connections to a process.
+    /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: &Endpoint) {
         self.idle.borrow_mut().remove(&endpoint.number);
     }
 
-    /// Closes what has been idle for long. A backend closes idle connections too, and a request that crosses its
-    /// close would end as a reset, which may have run: ours are closed clearly earlier.
+    /// Closes connections that have been idle for too long. Backends close idle connections too, and a
+    /// request that crosses such a close would be reset, which leaves open whether it ran. The pool therefore
+    /// closes them clearly earlier than the backends do.
     pub fn close_old_idle(&self) {
         let max_idle = self.max_idle();
         self.idle.borrow_mut().retain(|_, connections| {
@@ -143,7 +144,7 @@
         self.limits.get().idle_timeout.mul_f64(MAX_IDLE_FRACTION)
     }
 
-    /// The most recently used of those still open: the others may then grow old and be closed.
+    /// Takes the most recently used of the open idle connections, so that the others can expire.
     pub(super) fn take_idle(&self, endpoint: &Endpoint) -> Option<Connection> {
         let max_idle = self.max_idle();
         let mut idle = self.idle.borrow_mut();
@@ -154,7 +155,7 @@
         Some(connections.remove(newest).connection)
     }
 
-    /// Keeps a connection for another request, if it can carry one.
+    /// Keeps a connection for another request if it can carry one.
     pub(super) fn keep_idle(&self, endpoint: &Endpoint, connection: Connection) {
         let now = Instant::now();
         if endpoint.is_draining() || !connection.is_usable(now) {
@@ -164,7 +165,7 @@
         self.idle.borrow_mut().entry(endpoint.number).or_default().push(idle);
     }
 
-    /// Closes the connection that has been idle longest, whatever backend it is to.
+    /// Closes the connection that has been idle longest, of any backend.
     fn evict_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let first =
@@ -175,8 +176,9 @@
         true
     }
 
-    /// A permit for a connection. Where none is left, an idle connection gives way: that takes a moment, which is
-    /// waited for, since a request rejected for want of a permit is rejected by number.
+    /// Acquires a permit for a connection. If none is available, the oldest idle connection is evicted. Its
+    /// permit takes a moment to become available and is waited for, since without the wait many requests
+    /// would be rejected at once.
     async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, Outcome> {
         let permit = match self.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
@@ -184,7 +186,7 @@
                 self.evict_oldest_idle();
                 let permit = self.permits.clone().acquire_owned();
                 let permit = timeout(self.limits.get().connect_timeout, permit).await;
-                // Without one the request was never sent, and that says nothing of the backend.
+                // Without a permit the request is not sent, which tells nothing about the backend.
                 permit.ok().and_then(Result::ok).ok_or(Outcome::NotSent)?
             }
         };
@@ -194,7 +196,7 @@
         Ok(permit)
     }
 
-    /// Makes a connection, if the guard still allows it once there is a permit for it.
+    /// Opens a connection if the guard still allows it once there is a permit.
     pub(super) async fn connect(
         &self,
         endpoint: &Endpoint,
@@ -214,7 +216,7 @@
     }
 }
 
-/// Whether the process or the machine has no descriptor left.
+/// Returns whether the process or the machine has no file descriptor left.
 fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::ENFILE | libc::EMFILE))
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The backends' side: a pool of connections, and attempts with what each ending means.
+//! Connections to backends: a pool of connections, and attempts with the meaning of each outcome.
 
 mod attempt;
 mod attempt_outcome;
@@ -15,5 +15,5 @@
 pub use connection_pool::{ConnectionPool, Endpoint, PoolLimits};
 pub use request::{UpstreamRequest, printable_id};
 
-/// Bodies up to this many bytes are buffered, longer ones are streamed through.
+/// The maximum size of a buffered body, in bytes. Longer bodies are streamed.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -6,27 +6,27 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The `Host` of a request that came without one. Backends have seen this name from the first version on.
+/// The `Host` of a request that came without one. Backends have always received this name.
 const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("heathroad");
 
-/// A request as every attempt of it is sent.
+/// The parts of a request that all of its attempts share.
 pub struct UpstreamRequest {
-    /// Its method.
+    /// The request method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// `Host`, as the client gave it.
+    /// The client's `Host`.
     pub host: Option<HeaderValue>,
     /// `Req-Id`.
     pub id: HeaderValue,
     /// `Idempotency-Key`.
     pub idempotency_key: Option<HeaderValue>,
-    /// Its body.
+    /// The body.
     pub body: RequestPayload,
 }
 
 impl UpstreamRequest {
-    /// Its body, if that is streamed through.
+    /// Returns the body if it is streamed.
     pub fn upload(&self) -> Option<&Rc<StreamedUpload>> {
         match &self.body {
             RequestPayload::Buffered(_) => None,
@@ -34,7 +34,8 @@
         }
     }
 
-    /// The message of an attempt that is abandoned at a time; none if an attempt before this one has had the body.
+    /// Builds the message of an attempt that expires at `expires_at`. Returns `None` if an earlier attempt
+    /// has taken the body.
     pub(super) fn message(
         &self,
         progress: &Rc<StreamProgress>,
@@ -55,7 +56,7 @@
         request.body(RequestBody::new(&self.body, progress.clone())?).ok()
     }
 
-    /// What is left to the client. The time of a body that is streamed through begins with its last byte.
+    /// Returns the time that is left to the client. For a streamed body it counts from the last byte.
     fn remaining_ms(&self, expires_at: Instant) -> u64 {
         let remaining = match &self.body {
             RequestPayload::Buffered(_) => expires_at.saturating_duration_since(Instant::now()),
@@ -65,7 +66,7 @@
     }
 }
 
-/// An id as it is logged.
+/// Returns a request id as it is logged.
 pub fn printable_id(id: &HeaderValue) -> &str {
     id.to_str().unwrap_or("?")
 }
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Responses of backends: what they mean, and their bodies.
+//! Responses of backends: their meaning and their bodies.
 
 use super::MAX_BUFFERED_BODY_BYTES;
 use super::attempt_outcome::AttemptOutcome;
@@ -15,25 +15,25 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A body that is buffered, has begun and makes no headway for so long is not coming: its length doesn't fit.
+/// A buffered body that makes no progress for this long fails: its declared length is taken to be wrong.
 const BUFFERED_BODY_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What was read of a response.
+/// How far a response was read.
 pub(super) enum ResponseRead {
-    /// All of it.
+    /// The complete response.
     Complete(AttemptOutcome),
-    /// The first part of a long one, and its body.
+    /// The first part of a long response, and the rest of its body.
     Partial(PartialResponse, Incoming),
 }
 
-/// What was read of a long response.
+/// The part of a long response that was read.
 pub(super) struct PartialResponse {
     pub(super) outcome: AttemptOutcome,
     pub(super) length: Option<u64>,
     data: Bytes,
 }
 
-/// Reads a response as far as it is buffered; nothing if it is corrupt.
+/// Reads a response as far as it is buffered. Returns `None` if the response is corrupt.
 pub(super) async fn read_response(response: Response<Incoming>) -> Option<ResponseRead> {
     let (head, mut body) = response.into_parts();
     let length = body.size_hint().exact();
@@ -43,10 +43,10 @@
     let mut data = BytesMut::new();
     let mut is_long = length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
     while !is_long {
-        // A response that breaks off is none: the request may have run.
+        // A truncated response does not count as a response: the request may have run.
         let frame = timeout(BUFFERED_BODY_STALL_TIMEOUT, body.frame()).await.ok()?;
         let Some(frame) = frame else { break };
-        // Trailers are left out.
+        // Trailers are ignored.
         if let Ok(more) = frame.ok()?.into_data() {
             data.extend_from_slice(&more);
             is_long = data.len() > MAX_BUFFERED_BODY_BYTES;
@@ -61,8 +61,8 @@
     })
 }
 
-/// Whether a response says where it ends. Of a length and a coding at most one is true; where neither is given it
-/// ends with its connection.
+/// Returns whether the framing of a response is unambiguous. It may have either one length or one transfer
+/// coding. A response with neither ends when its connection closes.
 fn is_framing_valid(head: &Parts, length: Option<u64>) -> bool {
     let lengths = head.headers.get_all(header::CONTENT_LENGTH).iter().count();
     let codings = head.headers.get_all(header::TRANSFER_ENCODING).iter().count();
@@ -71,7 +71,7 @@
     lengths + codings <= 1 && !(has_no_body && codings > 0) && !is_too_long
 }
 
-/// What a response means.
+/// Determines the outcome of an attempt from its response.
 fn outcome(head: &Parts, data: &Bytes) -> AttemptOutcome {
     let is_declined = head.headers.get("srv-declined").is_some_and(|value| value == "1");
     match head.status {
@@ -79,7 +79,7 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_declined => {
             AttemptOutcome::Unserved(Outcome::Full)
         }
-        // These speak of the moment and not of the request.
+        // These statuses describe the current state of the backend and not the request.
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_EARLY | StatusCode::TOO_MANY_REQUESTS => {
             AttemptOutcome::Unserved(Outcome::Error)
         }
@@ -97,11 +97,11 @@
     pub(super) connection: Connection,
 }
 
-/// The client no longer takes the response, or the response has broken off: the client is shown so.
+/// The client no longer reads the response, or the response is truncated. The client sees an aborted body.
 struct Aborted;
 
 impl ResponseStream {
-    /// Streams the response. One that is not known to have come to its proper end has broken off.
+    /// Streams the response. A response without a verified end is aborted.
     pub(super) async fn run(mut self, begun: PartialResponse) {
         if let Ok(IdleCheck::Reusable) = self.stream(begun).await {
             self.connection.finish_response(false);
@@ -115,7 +115,7 @@
         loop {
             remaining = remaining.map(|remaining| remaining.saturating_sub(data.len() as u64));
             if remaining == Some(0) {
-                // The last of it waits until it is seen that it is the last.
+                // The last data is held back until its end has been verified.
                 return self.finish(data).await;
             }
             self.send(data).await?;
@@ -133,7 +133,7 @@
         self.frames.send(Some(data)).await.map_err(|_| Aborted)
     }
 
-    /// The next data of the body; none at the end of one whose length is not known.
+    /// Returns the next data of the body, or `None` at the end of a body of unknown length.
     async fn next_data(&mut self, has_length: bool) -> Result<Option<Bytes>, Aborted> {
         loop {
             let frame = tokio::select! {
@@ -143,7 +143,7 @@
             match frame {
                 Ok(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) if !data.is_empty() => return Ok(Some(data)),
-                    // Trailers, which are left out.
+                    // Trailers are ignored.
                     _ => {}
                 },
                 Ok(None) if !has_length => return Ok(None),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Sends the last data and the end, unless what lies behind the response shows that it is corrupt.
+    /// Sends the last data and the end, unless the bytes after the response show that it is corrupt.
     async fn finish(&mut self, last: Bytes) -> Result<IdleCheck, Aborted> {
         let check = self.connection.check_idle().await;
         if check == IdleCheck::ResponseCorrupt {
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -27,11 +27,12 @@
     }
 }
 
-/// With a single permit: an idle connection gives way, and an attempt that is abandoned frees it at once.
+/// With a single permit: an idle connection is evicted for a new one, and an abandoned attempt releases its
+/// permit at once.
 #[tokio::test]
 async fn a_permit_for_a_connection_is_waited_for() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let address = listener.local_addr().expect("bound socket");
     let (connect_timeout, idle_timeout) = (Duration::from_secs(20), Duration::from_secs(60));
     let limits =
         PoolLimits { connections: 1, connect_timeout, idle_timeout, drain_deadline: connect_timeout };
@@ -47,25 +48,27 @@
             let client = Rc::downgrade(&guard);
             let attempt = Attempt { request, endpoint: endpoint.clone(), expires_at, client, cancelled };
             let ended = spawn_local(attempt.run(pool.clone()));
-            let (mut backend, _) = listener.accept().await.expect("it came");
-            assert_ne!(backend.read(&mut [0; 1024]).await.expect("open"), 0);
-            cancel.send(()).expect("it is out");
+            let (mut backend, _) = listener.accept().await.expect("accept");
+            assert_ne!(backend.read(&mut [0; 1024]).await.expect("open connection"), 0);
+            cancel.send(()).expect("the attempt is running");
             assert_eq!(ended.await.expect("no panic").outcome.outcome(), Outcome::Cancelled);
-            let connection = pool.connect(&endpoint, &guard).await.expect("the abandoned one is closed");
+            let connection =
+                pool.connect(&endpoint, &guard).await.expect("the abandoned connection is closed");
             pool.keep_idle(&endpoint, connection);
-            assert!(pool.connect(&endpoint, &guard).await.is_ok(), "the idle one gives way");
+            assert!(pool.connect(&endpoint, &guard).await.is_ok(), "the idle connection is evicted");
         })
         .await;
 }
 
-/// A client has disconnected, and nobody has noticed: its own task has yet to get its turn, and an attempt for it is
-/// about to be written, on a connection that is kept or that comes up, or once there is a permit for one.
+/// Guards against a request that is sent although its client has disconnected. The client's task has not been
+/// scheduled since, and an attempt is about to write to an idle connection, or waits for a permit for a new
+/// one.
 #[tokio::test]
 async fn a_request_whose_client_has_just_disconnected_is_not_sent() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
-    let clients = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let at = clients.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let address = listener.local_addr().expect("bound socket");
+    let clients = TcpListener::bind("127.0.0.1:0").await.expect("free port");
+    let at = clients.local_addr().expect("bound socket");
     let (connect_timeout, idle_timeout) = (Duration::from_secs(20), Duration::from_secs(60));
     let tasks = LocalSet::new();
     tasks
@@ -80,15 +83,15 @@
                 let pool = Rc::new(ConnectionPool::new(limits));
                 let endpoint = Rc::new(pool.endpoint(address, 0.0));
                 let guard: SendGuard = Rc::new(|| true);
-                let connection = pool.connect(&endpoint, &guard).await.expect("it listens");
-                let (mut backend, _) = listener.accept().await.expect("it came");
+                let connection = pool.connect(&endpoint, &guard).await.expect("connect");
+                let (mut backend, _) = listener.accept().await.expect("accept");
                 // In use by an attempt, or idle.
                 let mut held = Some(connection);
                 if kept {
-                    pool.keep_idle(&endpoint, held.take().expect("held"));
+                    pool.keep_idle(&endpoint, held.take().expect("connection in use"));
                 }
-                let far = TcpStream::connect(at).await.expect("it listens");
-                let near = ClientSocket::new(clients.accept().await.expect("it came").0);
+                let far = TcpStream::connect(at).await.expect("connect");
+                let near = ClientSocket::new(clients.accept().await.expect("accept").0);
                 let liveness = near.liveness();
                 let is_connected: SendGuard = Rc::new(move || liveness.is_connected());
                 let (client, expires_at) = (Rc::downgrade(&is_connected), Instant::now() + connect_timeout);
@@ -97,18 +100,22 @@
                 let attempt = Attempt { request, endpoint: endpoint.clone(), expires_at, client, cancelled };
                 let ended = spawn_local(attempt.run(pool.clone()));
                 if !kept {
-                    // It waits for the permit.
+                    // The attempt waits for the permit.
                     tokio::task::yield_now().await;
                 }
-                SockRef::from(&far).shutdown(std::net::Shutdown::Write).expect("open");
+                SockRef::from(&far).shutdown(std::net::Shutdown::Write).expect("open connection");
                 drop(held);
                 assert_eq!(
                     ended.await.expect("no panic").outcome.outcome(),
                     Outcome::NotSent,
-                    "kept: {kept}"
+                    "idle connection: {kept}"
                 );
                 pool.close_idle(&endpoint);
-                assert_eq!(backend.read(&mut [0; 1024]).await.expect("a close"), 0, "kept: {kept}");
+                assert_eq!(
+                    backend.read(&mut [0; 1024]).await.expect("clean close"),
+                    0,
+                    "idle connection: {kept}"
+                );
             }
         })
         .await;
