--- a/crates/proxy/src/upstream/repeat_filter/equal_contents.rs
+++ b/crates/proxy/src/upstream/repeat_filter/equal_contents.rs
@@ -1,34 +1,35 @@
-//! Which contents a backend gives for different requests, and rightly so.
+//! The contents that a backend sends to different requests without repeating itself.
 
 use super::response_content::ContentHash;
 use std::collections::VecDeque;
 
-/// Contents of the latest responses that are compared.
+/// The number of recent responses whose contents are compared.
 const MAX_RECENT: usize = 32;
-/// Most contents that are known; the oldest is forgotten.
+/// The maximum number of known contents. The oldest is forgotten first.
 const MAX_KNOWN: usize = 64;
 
 /// Identifies a connection to a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConnectionNumber(pub(super) u64);
 
-/// The contents that a backend gives for different requests. A copy comes on the connection of its response: what comes
-/// on two connections is no copy.
+/// The contents that a backend sends to different requests. A copy arrives on the connection of its response,
+/// so equal contents on two connections are no copies.
 #[derive(Default)]
 pub(super) struct EqualContents {
-    /// The oldest first.
+    /// Oldest first.
     recent: VecDeque<(ContentHash, ConnectionNumber)>,
-    /// The oldest first.
+    /// Oldest first.
     known: VecDeque<ContentHash>,
 }
 
 impl EqualContents {
-    /// Whether equal responses of this content tell nothing.
+    /// Returns whether different requests received this content, so that equal responses of it are no sign of
+    /// a copy.
     pub(super) fn contains(&self, content: ContentHash) -> bool {
         self.known.contains(&content)
     }
 
-    /// Different requests got this content. Tells whether that is new.
+    /// Records that different requests received this content. Returns whether that is new.
     pub(super) fn insert(&mut self, content: ContentHash) -> bool {
         if self.known.contains(&content) {
             return false;
@@ -40,7 +41,8 @@
         true
     }
 
-    /// A response came on a connection. Tells whether it is now known that different requests got this content.
+    /// Records a response on a connection. Returns whether it shows for the first time that different
+    /// requests received this content.
     pub(super) fn record(&mut self, content: ContentHash, connection: ConnectionNumber) -> bool {
         let is_equal = self.recent.iter().any(|(earlier, other)| *earlier == content && *other != connection);
         let is_new = is_equal && self.insert(content);
--- a/crates/proxy/src/upstream/repeat_filter/filtered_stream.rs
+++ b/crates/proxy/src/upstream/repeat_filter/filtered_stream.rs
@@ -14,20 +14,20 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// How much is read at once, in bytes.
+/// The maximum number of bytes per read.
 const READ_BYTES: usize = 4096;
 
-/// A stream from which copies of responses are taken out.
+/// A stream from which copies of responses are removed.
 pub(in crate::upstream) struct FilteredStream {
     stream: TokioIo<TcpStream>,
     filter: Rc<RefCell<RepeatFilter>>,
     history: Rc<RepeatHistory>,
-    /// Ends the time for which bytes are held.
+    /// Fires when the hold of bytes ends.
     release_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl FilteredStream {
-    /// Filters the stream of a connection to a backend with this history.
+    /// Filters the stream of a connection to the backend with this history.
     pub(in crate::upstream) fn new(
         stream: TcpStream,
         filter: Rc<RefCell<RepeatFilter>>,
@@ -45,7 +45,7 @@
         received.map_err(|Untrusted| io::ErrorKind::InvalidData.into())
     }
 
-    /// Passes on what is held once its time is up; pending until then, and where no time is set.
+    /// Forwards held bytes once their hold ends. Pending until then, and as long as the hold has no end.
     fn poll_release(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let now = Instant::now();
         let Some(held_until) = self.filter.borrow().held_until(&self.history, now) else {
@@ -62,7 +62,7 @@
         Poll::Ready(())
     }
 
-    /// Gives what can be passed on; false if there is nothing.
+    /// Copies bytes that can be forwarded into a buffer. Returns `false` if there are none.
     fn give_ready(&self, buffer: &mut ReadBufCursor<'_>) -> bool {
         let ready = &mut self.filter.borrow_mut().ready;
         let length = ready.len().min(buffer.remaining());
--- a/crates/proxy/src/upstream/repeat_filter/hold.rs
+++ b/crates/proxy/src/upstream/repeat_filter/hold.rs
@@ -1,4 +1,4 @@
-//! How long a response is held that may be the copy of an earlier one.
+//! How long a response is held that may be a copy of an earlier one.
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -6,14 +6,14 @@
 /// How long a response is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct HoldTimes {
-    /// The response behind a copy would have come by then, if it takes no longer than others took.
+    /// Time enough for the response after a copy, if it takes no longer than other responses.
     pub(super) usual: Duration,
-    /// It would have come by then in any case.
+    /// Time enough for the response after a copy in any case.
     pub(super) longest: Duration,
 }
 
 impl HoldTimes {
-    /// For what is held no longer than usual.
+    /// Limits the hold to the usual time.
     pub(super) fn without_longest(self) -> Self {
         HoldTimes { longest: self.usual, ..self }
     }
@@ -22,28 +22,28 @@
 /// What is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeldBytes {
-    /// The beginning of what may be a copy.
+    /// The start of bytes that may be a copy.
     Part,
-    /// A response that equals an earlier one.
+    /// A complete response that equals an earlier one.
     Response,
 }
 
-/// A response that is held, or that was passed on before it was known to be no copy.
+/// A response that is held, or that was forwarded before it was known to be no copy.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Hold {
     /// What is held.
     pub(super) bytes: HeldBytes,
-    /// When it came.
+    /// When the response arrived.
     pub(super) began_at: Instant,
-    /// When it is passed on: its client is to get it in time.
+    /// When the response is forwarded, so that its client receives it in time.
     pub(super) release_at: Instant,
-    /// If nothing has come behind it by then, it is no copy.
+    /// When the response is known to be no copy, if nothing has followed it.
     pub(super) verdict_at: Instant,
 }
 
 impl Hold {
-    /// Holds a response for the longest time; where that is more than half of what is left until it expires, for that
-    /// half, but not for less than the usual time.
+    /// Holds a response for the longest time, or for half of the time until it expires if that is shorter,
+    /// but at least for the usual time.
     pub(super) fn begin(
         bytes: HeldBytes,
         now: Instant,
@@ -55,7 +55,7 @@
         Hold { bytes, began_at: now, release_at: now + release_after, verdict_at: now + times.longest }
     }
 
-    /// Whether what was to come behind a copy would have come.
+    /// Returns whether the response after a copy would have arrived by now.
     pub(super) fn is_verdict_due(&self, now: Instant) -> bool {
         self.verdict_at <= now
     }
--- a/crates/proxy/src/upstream/repeat_filter/mod.rs
+++ b/crates/proxy/src/upstream/repeat_filter/mod.rs
@@ -1,11 +1,13 @@
-//! Takes second copies of responses out of what a backend sends.
+//! Removes copies of responses from the bytes that a backend sends.
 //!
-//! Some backends send a response again, some milliseconds later. HTTP/1.1 has nothing by which such a copy could be
-//! told from the response to the next request on its connection but its bytes. What comes for a request is held as long
-//! as it equals a response remembered on its connection; what differs is passed on unchanged.
+//! Some backends send a response a second time, some milliseconds after the first. In HTTP/1.1 only the bytes
+//! can tell such a copy from the response to the next request on the same connection. The bytes that arrive
+//! for a request are held as long as they equal a response that is remembered on the connection. Bytes that
+//! differ are forwarded unchanged.
 //!
-//! All of a remembered response is a copy if the backend is known to repeat, or if something comes behind it. If nothing
-//! does for as long as the backend's responses take, it is the response, and the backend is known to give equal ones.
+//! Held bytes that equal a complete remembered response are a copy if the backend is known to repeat, or if
+//! more bytes follow. If none follow within the time that the backend's responses take, the held bytes are
+//! the response, and the backend is known to send equal responses.
 
 mod distinct_run;
 mod equal_contents;
@@ -33,14 +35,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How far the exchange on a connection has come.
+/// The state of the exchange on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// No request is open: whatever comes answers none.
+    /// No request is in flight, so any received bytes belong to no request.
     Idle,
-    /// A request is written, and nothing of its response has been passed on.
+    /// A request was written, and nothing of its response has been forwarded.
     Awaiting,
-    /// The response is being passed on.
+    /// The response is being forwarded.
     Receiving,
 }
 
@@ -49,34 +51,35 @@
     connection: ConnectionNumber,
     phase: Phase,
     remembered: RememberedResponses,
-    /// What was passed on of the present response.
+    /// The part of the current response that was forwarded.
     present: PresentResponse,
-    /// What may be a copy.
+    /// Bytes that may be a copy.
     held: BytesMut,
-    /// How long it is held; stays behind what was passed on before that was known to be no copy.
+    /// How long the bytes are held. Remains set after they were forwarded without knowing that they were no
+    /// copy.
     hold: Option<Hold>,
-    /// For how long the present response was held though it was no copy.
+    /// How long the current response was held although it was no copy.
     held_for: Duration,
-    /// When the present request was written.
+    /// When the current request was written.
     request_began_at: Option<Instant>,
-    /// Until when its response is waited for.
+    /// When the wait for its response ends.
     response_expires_at: Option<Instant>,
-    /// What can be passed on.
+    /// Bytes that can be forwarded.
     ready: BytesMut,
-    /// A copy may have been passed on before the backend was known to repeat: each response since may belong to an
-    /// earlier request.
+    /// Whether a copy may have been forwarded before the backend was known to repeat. Each later response may
+    /// then belong to an earlier request.
     may_be_out_of_step: bool,
-    /// A response came of which nothing is remembered.
+    /// Whether a response was received of which nothing is remembered.
     has_unknown_response: bool,
 }
 
-/// What came can't be trusted: a copy broke off, and where the next response begins is not certain; or it may belong to
-/// an earlier request.
+/// The received bytes can't be attributed to the current request: either a copy is truncated, so the start of
+/// the next response is uncertain, or they may belong to an earlier request.
 #[derive(Debug)]
 pub(super) struct Untrusted;
 
 impl RepeatFilter {
-    /// The filter of a new connection to a backend with this history.
+    /// Creates the filter of a new connection to the backend with this history.
     pub(super) fn new(history: &RepeatHistory) -> Self {
         RepeatFilter {
             connection: history.connection_number(),
@@ -94,17 +97,17 @@
         }
     }
 
-    /// The response to the next request is waited for until then.
+    /// Sets when the wait for the response to the next request ends.
     pub(super) fn expect_response_until(&mut self, expires_at: Instant) {
         self.response_expires_at = Some(expires_at);
     }
 
-    /// For how long the present response was held though it was no copy.
+    /// Returns how long the current response was held although it was no copy.
     pub(super) fn held_for(&self) -> Duration {
         self.held_for
     }
 
-    /// The first byte of a request is about to be written.
+    /// Called before each write. The first write starts a request.
     fn begin_request(&mut self, history: &RepeatHistory, now: Instant) {
         if self.phase != Phase::Idle {
             self.restart_hold(history, now);
@@ -112,12 +115,12 @@
         }
         history.forget_old_delays(now);
         if self.hold.take().is_some_and(|hold| hold.is_verdict_due(now)) {
-            // Nothing came behind a response that was passed on before that was known.
+            // Nothing followed a response that was forwarded before it was known to be no copy.
             if let Some(last) = self.remembered.last() {
                 history.record_equal(&last.content);
             }
         }
-        // Nothing came in all the time in which an earlier response would have come.
+        // A response to an earlier request would have arrived by now.
         let is_copy_awaited = self.remembered.last().is_some_and(|last| last.is_awaited(history, now));
         self.may_be_out_of_step &= is_copy_awaited;
         self.phase = Phase::Awaiting;
@@ -126,7 +129,8 @@
         self.present = PresentResponse::new();
     }
 
-    /// More of the present request is written: its response comes behind its last byte only.
+    /// Restarts the hold when more of the current request is written: its response follows only its last
+    /// byte.
     fn restart_hold(&mut self, history: &RepeatHistory, now: Instant) {
         if self.held.is_empty() {
             return;
@@ -136,10 +140,10 @@
         }
     }
 
-    /// Takes what has been read.
+    /// Processes bytes that were read.
     fn receive(&mut self, bytes: &[u8], history: &RepeatHistory, now: Instant) -> Result<(), Untrusted> {
         if self.phase == Phase::Idle && is_response_start(bytes) {
-            // Nobody waits for it.
+            // This response belongs to no request.
             history.record_repeat(now);
         }
         if self.phase != Phase::Awaiting {
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Drops copies from what is held, and passes on what is none.
+    /// Drops copies from the held bytes and forwards the rest.
     fn compare(&mut self, history: &RepeatHistory, now: Instant) -> Result<(), Untrusted> {
         while !self.held.is_empty() {
             if let Some(index) = self.remembered.position_at_start(&self.held) {
@@ -200,7 +204,8 @@
         Ok(())
     }
 
-    /// Takes a response that equals one that is remembered, as a copy or as the answer; false if that is not known yet.
+    /// Processes held bytes that start with a remembered response: drops a copy, or forwards the response to
+    /// the current request. Returns `false` if the two can't be told apart yet.
     fn take_equal(&mut self, index: usize, history: &RepeatHistory, now: Instant) -> bool {
         let remembered = self.remembered.get(index);
         let is_followed = self.held.len() > remembered.content.length();
@@ -220,7 +225,7 @@
         is_copy || is_answer
     }
 
-    /// Holds what has come until more comes, and for a limited time.
+    /// Holds the received bytes until more arrive, for a limited time.
     fn hold(&mut self, bytes: HeldBytes, history: &RepeatHistory, now: Instant) {
         if self.hold.is_some_and(|hold| hold.bytes == bytes) {
             return;
@@ -244,13 +249,14 @@
         }
     }
 
-    /// Until when bytes are held, where that ends by itself.
+    /// Returns until when bytes are held, if the hold ends without further bytes.
     fn held_until(&self, history: &RepeatHistory, now: Instant) -> Option<Instant> {
         let hold = self.hold.filter(|_| !self.held.is_empty())?;
         if self.is_awaited_copy(hold, history, now) { None } else { Some(hold.release_at) }
     }
 
-    /// Whether what is held is the copy, or the beginning of one, that was awaited of a backend that repeats.
+    /// Returns whether the held bytes are the start or all of a copy that is expected from a repeating
+    /// backend.
     fn is_awaited_copy(&self, hold: Hold, history: &RepeatHistory, now: Instant) -> bool {
         let is_awaited = |copy: &RememberedResponse| {
             copy.content.may_start_with(&self.held)
@@ -261,13 +267,15 @@
         history.repeats(now) && self.remembered.iter().any(is_awaited)
     }
 
-    /// Passes on what was held for its time. Its connection stays observed until it is known to be no copy.
+    /// Forwards bytes whose hold time is over. The connection remains under observation until they are known
+    /// to be no copy.
     fn release_held(&mut self, history: &RepeatHistory, now: Instant) {
         let Some(hold) = self.hold.filter(|hold| hold.release_at <= now) else { return };
         if self.held.is_empty() || self.is_awaited_copy(hold, history, now) {
             return;
         }
-        // The rest of one that is not whole is its backend's to send.
+        // Only a complete response counts as held: the rest of a partial one is still to be sent by the
+        // backend.
         let content = ResponseContent::of(&self.held);
         if self.remembered.contains(&content) {
             self.held_for = now.duration_since(hold.began_at);
@@ -280,7 +288,7 @@
         self.pass_response();
     }
 
-    /// What is held is no copy, and neither is the rest of its response.
+    /// Forwards the held bytes. They are no copy, and neither is the rest of their response.
     fn pass_response(&mut self) {
         let held = self.held.split();
         self.pass(&held);
@@ -292,12 +300,12 @@
         self.present.record(bytes);
     }
 
-    /// Whether the rest of the present response may go by the filter.
+    /// Returns whether the rest of the current response may bypass the filter.
     fn is_bypassed(&self) -> bool {
         self.phase == Phase::Receiving && self.present.is_too_long() && self.ready.is_empty()
     }
 
-    /// The present response has been read as a whole, and its connection could be used again.
+    /// Records that the current response was read completely on a connection that may be reused.
     pub(super) fn finish_response(&mut self, is_error: bool, history: &RepeatHistory, now: Instant) {
         self.phase = Phase::Idle;
         let Some(content) = self.present.take_content() else {
@@ -316,7 +324,8 @@
         self.remembered.remember(RememberedResponse { content, received_at: now, rests_until, was_copied });
     }
 
-    /// Until when the connection is not used behind a response: a copy of it could be taken for the next one.
+    /// Returns until when the connection is not used after a response, because a copy of it could be taken
+    /// for the next response.
     fn rest_behind(
         &self,
         content: &ResponseContent,
@@ -336,14 +345,15 @@
         observed_until.max(is_copy_awaited_until)
     }
 
-    /// Whether the connection can carry no further request: a copy of a response of which nothing is remembered could
-    /// not be told from the next one. Of a backend that is known to repeat all of it has to be remembered.
+    /// Returns whether the connection can carry no further request. A copy of a response that is not
+    /// remembered at all could not be told from the next response. If the backend is known to repeat,
+    /// responses have to be remembered in full.
     pub(super) fn is_unusable(&self, history: &RepeatHistory, now: Instant) -> bool {
         let is_untrusted = self.present.is_long() || self.may_be_out_of_step;
         self.has_unknown_response || history.repeats(now) && is_untrusted
     }
 
-    /// Whether the connection is not to be used yet.
+    /// Returns whether the connection must not be used yet.
     pub(super) fn is_resting(&self, now: Instant) -> bool {
         self.remembered.is_resting(now)
     }
--- a/crates/proxy/src/upstream/repeat_filter/remembered_responses.rs
+++ b/crates/proxy/src/upstream/repeat_filter/remembered_responses.rs
@@ -1,4 +1,4 @@
-//! The responses of a connection whose copies may still come.
+//! The responses of a connection whose copies may still arrive.
 
 use super::repeat_history::RepeatHistory;
 use super::response_bytes::{common_prefix_length, contains_chunked, has_response_start_near, head_length};
@@ -6,24 +6,26 @@
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Most responses of a connection that are remembered: a slow copy may come behind later responses.
+/// The maximum number of remembered responses of a connection. A slow copy may arrive after several later
+/// responses.
 pub(super) const MAX_REMEMBERED_RESPONSES: usize = 64;
-/// Most bytes of them.
+/// The maximum size of the remembered responses of a connection, in bytes.
 pub(super) const MAX_REMEMBERED_BYTES: usize = MAX_WHOLE_BYTES;
 
-/// A response whose copy has not come.
+/// A response whose copy may still arrive.
 pub(super) struct RememberedResponse {
     pub(super) content: ResponseContent,
     pub(super) received_at: Instant,
-    /// Until when its connection is not used, if the next response may rightly equal it. Where the backend is known to
-    /// repeat it is forgotten then.
+    /// Until when the connection is not used, if the next response may legitimately equal this one. If the
+    /// backend is known to repeat, the response is forgotten then.
     pub(super) rests_until: Option<Instant>,
-    /// A copy of it came, by which the backend is known to repeat: another may come, or an equal response.
+    /// Whether a copy was received by which the backend became known to repeat. Either another copy or an
+    /// equal response may follow.
     pub(super) was_copied: bool,
 }
 
 impl RememberedResponse {
-    /// Whether its copy may still come.
+    /// Returns whether a copy of the response may still arrive.
     pub(super) fn is_awaited(&self, history: &RepeatHistory, now: Instant) -> bool {
         match self.rests_until {
             Some(until) if history.repeats(now) => now < until,
@@ -31,32 +33,32 @@
         }
     }
 
-    /// Whether its connection has rested so long that no copy of it can come.
+    /// Returns whether the connection's cooldown has lasted so long that no copy can arrive any more.
     fn is_forgotten(&self, history: &RepeatHistory, now: Instant) -> bool {
         history.repeats(now) && self.rests_until.is_some_and(|until| until <= now)
     }
 }
 
-/// What bytes are that begin like a response that is remembered, and then differ.
+/// What bytes are that begin like a remembered response and then differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Divergence {
     /// Another response.
     OtherResponse,
-    /// Another response or a copy that broke off: more has to come before that is known.
+    /// Either another response or a truncated copy. More bytes are needed to decide.
     Unknown,
-    /// A copy that broke off.
+    /// A truncated copy.
     BrokenCopy,
 }
 
-/// The responses that a connection remembers.
+/// The remembered responses of a connection.
 #[derive(Default)]
 pub(super) struct RememberedResponses {
-    /// The oldest first.
+    /// Oldest first.
     responses: VecDeque<RememberedResponse>,
 }
 
 impl RememberedResponses {
-    /// Remembers a response, and less of those before it where all would be too much.
+    /// Remembers a response. Beyond the limits, less is kept of earlier responses.
     pub(super) fn remember(&mut self, response: RememberedResponse) {
         self.responses.push_back(response);
         if self.responses.len() > MAX_REMEMBERED_RESPONSES {
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Forgets responses of which no copy can come any more.
+    /// Forgets responses of which no copy can arrive any more.
     pub(super) fn forget_rested(&mut self, history: &RepeatHistory, now: Instant) {
         self.responses.retain(|response| !response.is_forgotten(history, now));
     }
@@ -95,27 +97,27 @@
         self.responses.iter()
     }
 
-    /// The place of the response that bytes begin with.
+    /// Returns the index of the response that the bytes start with.
     pub(super) fn position_at_start(&self, bytes: &[u8]) -> Option<usize> {
         self.responses.iter().position(|response| response.content.is_start_of(bytes))
     }
 
-    /// Whether bytes may be the beginning of one, or all of it.
+    /// Returns whether the bytes may be the start or all of a remembered response.
     pub(super) fn any_may_start_with(&self, bytes: &[u8]) -> bool {
         self.responses.iter().any(|response| response.content.may_start_with(bytes))
     }
 
-    /// Whether one of this content is remembered.
+    /// Returns whether a response of this content is remembered.
     pub(super) fn contains(&self, content: &ResponseContent) -> bool {
         self.responses.iter().any(|response| response.content.hash() == content.hash())
     }
 
-    /// Whether the connection is not to be used yet.
+    /// Returns whether the connection must not be used yet.
     pub(super) fn is_resting(&self, now: Instant) -> bool {
         self.responses.iter().any(|response| response.rests_until.is_some_and(|until| now < until))
     }
 
-    /// What bytes are that are no beginning of any of the responses.
+    /// Classifies bytes that are not the start of any remembered response.
     pub(super) fn divergence(&self, bytes: &[u8]) -> Divergence {
         let mut divergence = Divergence::OtherResponse;
         for response in &self.responses {
@@ -145,7 +147,7 @@
     if common < whole.len() && has_response_start_near(bytes, common) {
         return Divergence::BrokenCopy;
     }
-    // With one head, and so one length, both are equally long.
+    // Equal heads with a `Content-Length` mean equally long responses.
     let has_equal_head = common >= head;
     let has_length = !contains_chunked(&whole[..head]);
     if has_equal_head && has_length && bytes.len() < whole.len() {
--- a/crates/proxy/src/upstream/repeat_filter/repeat_history.rs
+++ b/crates/proxy/src/upstream/repeat_filter/repeat_history.rs
@@ -1,4 +1,4 @@
-//! What is known of a backend that repeats its responses.
+//! What is known about copies that a backend sends.
 
 use super::distinct_run::DistinctRun;
 use super::equal_contents::{ConnectionNumber, EqualContents};
@@ -11,32 +11,34 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A backend is known to repeat for so long after a copy.
+/// How long a backend is taken to repeat after its last copy.
 pub(super) const REPEATER_MEMORY: Duration = Duration::from_secs(60);
-/// A copy may come this many times later than the latest one that was seen.
+/// A copy may arrive up to this many times later than the latest copy that was seen.
 const COPY_DELAY_FACTOR: u32 = 8;
-/// Copies are expected for so long at the least: either side may be held up.
+/// The minimum time for which a copy of a response is expected. Either side may be delayed.
 const MIN_COPY_WINDOW: Duration = Duration::from_millis(250);
-/// A connection rests for so long at the least: it costs the backend work to make another in its place.
+/// The minimum cooldown of a connection. It is short because a replacement connection costs the backend work.
 const MIN_REST_TIME: Duration = Duration::from_millis(50);
-/// A copy that comes later than this is not told from a response.
+/// The maximum time for which a copy is expected. A later copy can't be told from a response.
 const MAX_COPY_WINDOW: Duration = Duration::from_secs(2);
-/// What comes behind a copy comes within this many times the slowest recent response of its backend.
+/// The response after a copy arrives within this many times the slowest recent response time of the backend.
 const HOLD_FACTOR: u32 = 8;
-/// An equal response is held for so long at the least: either side may be held up.
+/// The minimum time for which an equal response is held. Either side may be delayed.
 const MIN_HOLD_TIME: Duration = Duration::from_millis(100);
-/// One whose client has the time is held for so long: a response may take longer than all before.
+/// How long an equal response is held if its client has the time. A response may take longer than all earlier
+/// ones.
 const LONG_HOLD_TIME: Duration = Duration::from_millis(250);
-/// Nothing is held for longer than this.
+/// The maximum time for which bytes are held.
 pub(super) const MAX_HOLD_TIME: Duration = Duration::from_secs(2);
-/// A backend gives few equal responses if so many of it were unlike all others.
+/// How many distinct responses a backend must have sent before its equal responses count as rare.
 const MIN_DISTINCT_RESPONSES: u32 = 8;
-/// How long a response time counts as recent, at the least; twice that at the most.
+/// The period of the recent maximum of the response times. A response time counts as recent for one to two
+/// periods.
 const RESPONSE_TIME_PERIOD: Duration = Duration::from_secs(10);
 
-/// What is known of the copies that one process of a backend sends.
+/// What is known about the copies that one process of a backend sends.
 pub(in crate::upstream) struct RepeatHistory {
-    /// Where the process is reached, for the log.
+    /// The address of the process, for the log.
     address: SocketAddr,
     last_repeat_at: Cell<Option<Instant>>,
     longest_delay: Cell<Duration>,
@@ -46,14 +48,14 @@
     next_connection: Cell<u64>,
     last_response: Cell<Option<ContentHash>>,
     gives_equal_responses: Cell<bool>,
-    /// Served responses that were unlike all before them.
+    /// The number of served responses that differed from all earlier ones.
     distinct_count: Cell<u32>,
-    /// Those of all backends of the tier.
+    /// The distinct responses of all backends of the tier.
     tier_run: Rc<DistinctRun>,
 }
 
 impl RepeatHistory {
-    /// Of a process that has sent nothing yet, of a tier whose backends are much alike.
+    /// Creates the history of a process that has sent nothing yet. The backends of its tier behave alike.
     pub(in crate::upstream) fn new(address: SocketAddr, tier_run: Rc<DistinctRun>) -> Self {
         RepeatHistory {
             address,
@@ -70,62 +72,62 @@
         }
     }
 
-    /// Whether the backend is known to repeat.
+    /// Returns whether the backend is known to repeat responses.
     pub(super) fn repeats(&self, now: Instant) -> bool {
         self.last_repeat_at.get().is_some_and(|at| now.duration_since(at) < REPEATER_MEMORY)
     }
 
-    /// Forgets how late copies came once the backend no longer repeats.
+    /// Forgets the delay of copies once the backend no longer repeats.
     pub(super) fn forget_old_delays(&self, now: Instant) {
         if !self.repeats(now) {
             self.longest_delay.set(Duration::ZERO);
         }
     }
 
-    /// A response came that nobody waited for.
+    /// Records a response that belongs to no request.
     pub(in crate::upstream) fn record_repeat(&self, now: Instant) {
         if !self.repeats(now) {
-            log!("backend at {} sends responses again", self.address);
+            log!("backend at {} sends copies of its responses", self.address);
         }
         self.last_repeat_at.set(Some(now));
     }
 
-    /// A copy came, so long after its response.
+    /// Records a copy that arrived `delay` after its response.
     pub(super) fn record_copy(&self, now: Instant, delay: Duration) {
         self.record_repeat(now);
         self.longest_delay.set(self.longest_delay.get().max(delay));
     }
 
-    /// How long after a response its copy may come.
+    /// Returns how long after a response its copy may arrive.
     pub(super) fn copy_window(&self) -> Duration {
         (self.longest_delay.get() * COPY_DELAY_FACTOR).clamp(MIN_COPY_WINDOW, MAX_COPY_WINDOW)
     }
 
-    /// How long a connection rests behind a response that the next may rightly equal.
+    /// Returns the cooldown of a connection after a response that the next response may legitimately equal.
     pub(super) fn rest_time(&self) -> Duration {
         (self.longest_delay.get() * COPY_DELAY_FACTOR).clamp(MIN_REST_TIME, MAX_COPY_WINDOW)
     }
 
-    /// A response was passed on, and was no copy.
+    /// Records a response that was forwarded and was no copy.
     pub(super) fn record_response(&self, content: &ResponseContent) {
         if self.last_response.replace(Some(content.hash())) == Some(content.hash()) {
             self.gives_equal_responses.set(true);
         }
     }
 
-    /// Whether the backend has given equal responses to different requests while it repeated.
+    /// Returns whether the backend has sent equal responses to different requests while it repeated.
     pub(super) fn gives_equal_responses(&self) -> bool {
         self.gives_equal_responses.get()
     }
 
-    /// A number for a new connection.
+    /// Returns the number of a new connection.
     pub(super) fn connection_number(&self) -> ConnectionNumber {
         let number = self.next_connection.get();
         self.next_connection.set(number + 1);
         ConnectionNumber(number)
     }
 
-    /// A response differed from those before it on its connection.
+    /// Records a response that differed from the earlier ones on its connection.
     pub(super) fn record_distinct(&self, content: &ResponseContent, connection: ConnectionNumber) {
         let kind = content.kind();
         let is_newly_equal = self.equal_contents(kind).borrow_mut().record(content.hash(), connection);
@@ -139,24 +141,25 @@
         }
     }
 
-    /// An equal response of this content was passed on, since nothing came behind it for as long as it was held.
+    /// Records that an equal response was forwarded because nothing followed it during its hold.
     pub(super) fn record_released(&self, content: &ResponseContent) {
         if content.kind() == ResponseKind::Served {
             self.tier_run.record_equal();
         }
     }
 
-    /// Equal responses of this content were given to different requests.
+    /// Records that different requests received a response of this content.
     pub(super) fn record_equal(&self, content: &ResponseContent) {
         self.equal_contents(content.kind()).borrow_mut().insert(content.hash());
     }
 
-    /// Whether an equal response of this content tells nothing: different requests were given it before.
+    /// Returns whether different requests are known to have received this content, so that an equal response
+    /// is no sign of a copy.
     pub(super) fn is_equal_known(&self, content: &ResponseContent) -> bool {
         self.equal_contents(content.kind()).borrow().contains(content.hash())
     }
 
-    /// Errors are equal more often than not, and say nothing of other responses.
+    /// Errors are kept apart: they are usually equal and tell nothing about other responses.
     fn equal_contents(&self, kind: ResponseKind) -> &RefCell<EqualContents> {
         match kind {
             ResponseKind::Served => &self.equal_served,
@@ -164,20 +167,20 @@
         }
     }
 
-    /// A response began so long after its request.
+    /// Records the time from a request to the first byte of its response.
     pub(super) fn record_response_time(&self, now: Instant, time: Duration) {
         let mut response_times = self.response_times.get();
         response_times.record(now, time);
         self.response_times.set(response_times);
     }
 
-    /// How long a response is held to see whether something comes behind it.
+    /// Returns how long a response is held to see whether more bytes follow.
     pub(super) fn hold_times(&self) -> HoldTimes {
         let usual = (self.response_times.get().value() * HOLD_FACTOR).clamp(MIN_HOLD_TIME, MAX_HOLD_TIME);
         HoldTimes { usual, longest: usual.max(LONG_HOLD_TIME) }
     }
 
-    /// How long one of this content is held, which equals an earlier one.
+    /// Returns how long a response of this content is held when it equals an earlier one.
     pub(super) fn hold_times_of(&self, content: &ResponseContent) -> HoldTimes {
         let times = self.hold_times();
         if self.is_equal_known(content) {
@@ -189,19 +192,19 @@
         times
     }
 
-    /// Whether an equal response is a copy more likely than not.
+    /// Returns whether an equal response is more likely a copy than not.
     fn are_equals_rare(&self) -> bool {
         self.distinct_count.get() >= MIN_DISTINCT_RESPONSES && self.tier_run.are_equals_rare()
     }
 }
 
-/// The longest of the recent times.
+/// The maximum of the recent times.
 #[derive(Debug, Clone, Copy, Default)]
 struct RecentMaximum {
-    /// When the present period began.
+    /// When the current period began.
     began_at: Option<Instant>,
     present: Duration,
-    /// Of the period before.
+    /// The maximum of the previous period.
     previous: Duration,
 }
 
--- a/crates/proxy/src/upstream/repeat_filter/response_content.rs
+++ b/crates/proxy/src/upstream/repeat_filter/response_content.rs
@@ -1,23 +1,23 @@
-//! What is kept of a response to recognize a copy of it.
+//! What is kept of a response to recognize its copies.
 
 use super::response_bytes::{final_response, is_interim, is_served};
 use crate::transport::MAX_HEAD_BYTES;
 use crate::upstream::MAX_BUFFERED_BODY_BYTES;
 use std::hash::{DefaultHasher, Hasher};
 
-/// Responses up to so many bytes are kept as a whole.
+/// The maximum size of a response that is kept in full, in bytes.
 pub(super) const MAX_WHOLE_BYTES: usize = 16 * 1024;
-/// Of longer ones so many bytes are kept, and a hash.
+/// How many bytes are kept of a longer response, together with a hash.
 const PREFIX_BYTES: usize = 512;
-/// Responses of more bytes than this are not compared.
+/// The maximum size of a response that is compared, in bytes.
 pub(super) const MAX_COMPARED_BYTES: usize = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES;
 
-/// What a response is.
+/// The kind of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ResponseKind {
-    /// Its request was served.
+    /// The request was served.
     Served,
-    /// Its request was not.
+    /// The request was not served.
     Error,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Identifies the bytes of a response.
+/// The hash of all bytes of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ContentHash(u64);
 
@@ -39,17 +39,17 @@
     }
 }
 
-/// A response, or as much of it as tells it from others.
+/// The part of a response that is kept to compare it with others.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct ResponseContent {
-    /// All of it, or its first bytes.
+    /// The first bytes of the response, or all of them.
     prefix: Box<[u8]>,
     length: usize,
     hash: ContentHash,
 }
 
 impl ResponseContent {
-    /// The content of a whole response.
+    /// Creates the content of a complete response.
     pub(super) fn of(response: &[u8]) -> Self {
         let prefix = &response[..response.len().min(MAX_WHOLE_BYTES)];
         ResponseContent { prefix: prefix.into(), length: response.len(), hash: ContentHash::of(response) }
@@ -67,17 +67,17 @@
         ResponseKind::of(&self.prefix)
     }
 
-    /// How many bytes are kept of it.
+    /// Returns how many bytes of the response are kept.
     pub(super) fn kept_bytes(&self) -> usize {
         self.prefix.len()
     }
 
-    /// All its bytes, if they are kept.
+    /// Returns all bytes of the response if they are kept.
     pub(super) fn whole(&self) -> Option<&[u8]> {
         if self.prefix.len() == self.length { Some(&self.prefix) } else { None }
     }
 
-    /// Keeps less of it; false if no less can be kept.
+    /// Reduces what is kept of the response. Returns `false` if that is not possible.
     pub(super) fn shorten(&mut self) -> bool {
         if self.prefix.len() <= PREFIX_BYTES {
             return false;
@@ -86,7 +86,7 @@
         true
     }
 
-    /// Whether bytes begin with all of it.
+    /// Returns whether the bytes start with the complete response.
     pub(super) fn is_start_of(&self, bytes: &[u8]) -> bool {
         if bytes.len() < self.length || !bytes.starts_with(&self.prefix) {
             return false;
@@ -94,7 +94,7 @@
         self.whole().is_some() || ContentHash::of(&bytes[..self.length]) == self.hash
     }
 
-    /// Whether bytes may be its beginning, or are all of it.
+    /// Returns whether the bytes may be the start of the response, or are all of it.
     pub(super) fn may_start_with(&self, bytes: &[u8]) -> bool {
         let compared = bytes.len().min(self.prefix.len());
         let is_alike = bytes.len() <= self.length && bytes[..compared] == self.prefix[..compared];
@@ -102,9 +102,9 @@
     }
 }
 
-/// The response that is being passed on.
+/// The response that is being forwarded.
 pub(super) struct PresentResponse {
-    /// Its first bytes.
+    /// The first bytes of the response.
     prefix: Vec<u8>,
     length: usize,
     hasher: DefaultHasher,
@@ -115,7 +115,7 @@
         PresentResponse { prefix: Vec::new(), length: 0, hasher: DefaultHasher::new() }
     }
 
-    /// Takes bytes that are passed on.
+    /// Records bytes that are forwarded.
     pub(super) fn record(&mut self, bytes: &[u8]) {
         self.length += bytes.len();
         if self.is_too_long() {
@@ -126,17 +126,18 @@
         self.prefix.extend_from_slice(&bytes[..bytes.len().min(missing)]);
     }
 
-    /// Whether it is too long to be kept as a whole.
+    /// Returns whether the response is too long to be kept in full.
     pub(super) fn is_long(&self) -> bool {
         self.length > MAX_WHOLE_BYTES
     }
 
-    /// Whether it is too long to be compared.
+    /// Returns whether the response is too long to be compared.
     pub(super) fn is_too_long(&self) -> bool {
         self.length > MAX_COMPARED_BYTES
     }
 
-    /// What is kept of it, without the interim responses before it; none if it is too long.
+    /// Takes the content of the response without the interim responses before it. Returns `None` if the
+    /// response is too long.
     pub(super) fn take_content(&mut self) -> Option<ResponseContent> {
         let prefix = std::mem::take(&mut self.prefix);
         if !self.is_long() {
--- a/crates/proxy/src/upstream/repeat_filter/tests.rs
+++ b/crates/proxy/src/upstream/repeat_filter/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the filter of copies: single cases, and a property over arbitrary cuts and orders.
+//! Unit tests of the repeat filter: single cases, and a property over random cuts and orders of the bytes.
 
 use super::remembered_responses::{MAX_REMEMBERED_BYTES, MAX_REMEMBERED_RESPONSES};
 use super::response_content::MAX_COMPARED_BYTES;
@@ -19,12 +19,12 @@
     format!("{head}{:x}\r\n{body}\r\n0\r\n\r\n", body.len()).into_bytes()
 }
 
-/// A filter with its backend's history, on a clock that the test moves.
+/// A filter with the history of its backend, on a clock that the test advances.
 struct Fixture {
     filter: RepeatFilter,
     history: RepeatHistory,
     now: Instant,
-    /// Distinct responses that were given.
+    /// The number of distinct responses that were sent.
     response_count: usize,
 }
 
@@ -33,7 +33,7 @@
         Fixture::of_tier(Rc::default())
     }
 
-    /// A backend of a tier, of which itself nothing is known.
+    /// Creates the fixture of a new backend of a tier.
     fn of_tier(distinct_run: Rc<DistinctRun>) -> Self {
         let history = RepeatHistory::new((Ipv4Addr::LOCALHOST, 1).into(), distinct_run);
         let filter = RepeatFilter::new(&history);
@@ -50,37 +50,37 @@
         self.filter.begin_request(&self.history, self.now);
     }
 
-    /// Gives what is passed on of bytes that came.
+    /// Returns what is forwarded of the received bytes.
     fn receive(&mut self, bytes: &[u8]) -> Result<Vec<u8>, Untrusted> {
         self.now += Duration::from_millis(1);
         self.filter.receive(bytes, &self.history, self.now)?;
         Ok(self.filter.ready.split().to_vec())
     }
 
-    /// Begins a request whose response is waited for only so long.
+    /// Begins a request whose response expires after `time`.
     fn begin_request_within(&mut self, time: Duration) {
         self.filter.expect_response_until(self.now + time);
         self.begin_request();
     }
 
-    /// How long an equal response is held where there is the time.
+    /// Returns how long an equal response is held if its client has the time.
     fn hold_time(&self) -> Duration {
         self.history.hold_times().longest
     }
 
-    /// Takes a response that is held.
+    /// Receives a response and expects that it is held.
     fn receive_held(&mut self, response: &[u8]) {
         assert_eq!(self.receive(response).expect("held"), b"");
     }
 
-    /// Lets the time come at which what is held is looked at, and gives what is passed on.
+    /// Advances the clock to the end of the hold and returns what is forwarded.
     fn release(&mut self) -> Vec<u8> {
-        self.now = self.filter.held_until(&self.history, self.now).expect("it ends by itself");
+        self.now = self.filter.held_until(&self.history, self.now).expect("the hold has an end");
         self.filter.release_held(&self.history, self.now);
         self.filter.ready.split().to_vec()
     }
 
-    /// A backend that has given so many responses, each unlike all others.
+    /// Creates a backend that has sent `count` distinct responses.
     fn with_distinct_responses(count: u32) -> Self {
         let mut fixture = Fixture::unknown_backend();
         fixture.give_distinct_responses(count);
@@ -94,12 +94,12 @@
         }
     }
 
-    /// Another connection to the same backend.
+    /// Replaces the connection by another one to the same backend.
     fn connect_again(&mut self) -> RepeatFilter {
         std::mem::replace(&mut self.filter, RepeatFilter::new(&self.history))
     }
 
-    /// The response is read; tells whether its connection can be used again.
+    /// Finishes the response. Returns whether the connection can be used again.
     fn finish(&mut self, is_error: bool) -> bool {
         self.filter.finish_response(is_error, &self.history, self.now);
         !self.filter.is_unusable(&self.history, self.now)
@@ -109,10 +109,11 @@
         self.filter.is_resting(self.now)
     }
 
-    /// A request and its response, which is passed on as it is.
+    /// Runs a request whose response is forwarded unchanged. Returns whether the connection can be used
+    /// again.
     fn exchange(&mut self, response: &[u8], is_error: bool) -> bool {
         self.begin_request();
-        assert_eq!(self.receive(response).expect("no copy"), response);
+        assert_eq!(self.receive(response).expect("not a copy"), response);
         self.finish(is_error)
     }
 }
@@ -123,21 +124,23 @@
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&first, false);
     fixture.begin_request();
-    assert_eq!(fixture.receive(&first).expect("a copy"), b"");
-    assert_eq!(fixture.receive(&second).expect("a response"), second);
+    assert_eq!(fixture.receive(&first).expect("copy"), b"");
+    assert_eq!(fixture.receive(&second).expect("response"), second);
 }
 
+/// A copy that arrives while no request is in flight shows that the backend repeats.
 #[test]
 fn a_copy_that_comes_while_nothing_is_open_tells_that_the_backend_repeats() {
     let mut fixture = Fixture::unknown_backend();
     let first = response(200, "first");
     fixture.exchange(&first, false);
     assert!(!fixture.history.repeats(fixture.now));
-    // It is passed on, and ends the connection.
-    assert_eq!(fixture.receive(&first).expect("a copy"), first);
+    // The copy is forwarded, and it ends the connection.
+    assert_eq!(fixture.receive(&first).expect("copy"), first);
     assert!(fixture.history.repeats(fixture.now));
 }
 
+/// Guards against a delay of every response of a backend that sends equal responses but no copies.
 #[test]
 fn of_equal_responses_that_are_sent_once_only_the_first_is_held() {
     let mut fixture = Fixture::unknown_backend();
@@ -162,7 +165,7 @@
         fixture.exchange(&first, false);
         fixture.begin_request();
         fixture.receive_held(&first);
-        assert_eq!(fixture.receive(&behind).expect("a response"), behind);
+        assert_eq!(fixture.receive(&behind).expect("response"), behind);
         assert!(fixture.history.repeats(fixture.now));
     }
 }
@@ -176,10 +179,12 @@
         fixture.begin_request();
         fixture.receive_held(&first[..cut]);
         fixture.receive_held(&first[cut..]);
-        assert_eq!(fixture.receive(&second).expect("a response"), second, "cut at {cut}");
+        assert_eq!(fixture.receive(&second).expect("response"), second, "cut at {cut}");
     }
 }
 
+/// A backend that repeats sends equal responses to different requests: the first is dropped as a copy each
+/// time.
 #[test]
 fn of_equal_responses_that_are_sent_twice_the_second_is_the_answer() {
     let mut fixture = Fixture::repeating_backend();
@@ -187,8 +192,8 @@
     fixture.exchange(&equal, false);
     for _ in 0..10 {
         fixture.begin_request();
-        assert_eq!(fixture.receive(&equal).expect("taken for a copy"), b"");
-        assert_eq!(fixture.receive(&equal).expect("the answer"), equal);
+        assert_eq!(fixture.receive(&equal).expect("dropped as a copy"), b"");
+        assert_eq!(fixture.receive(&equal).expect("response"), equal);
         fixture.finish(false);
     }
 }
@@ -206,7 +211,7 @@
     assert_eq!(fixture.filter.held_for(), Duration::from_millis(100));
 }
 
-/// A connection on which an equal response was passed on before it was known to be no copy.
+/// Creates a connection on which an equal response was forwarded before it was known to be no copy.
 fn passed_on_early() -> Fixture {
     let mut fixture = Fixture::unknown_backend();
     let first = response(200, "first");
@@ -218,15 +223,19 @@
     fixture
 }
 
+/// Guards against the reuse of a connection on which a copy was forwarded early: the real response follows
+/// and would be taken for the response to the next request.
 #[test]
 fn behind_a_response_that_was_passed_on_early_the_connection_is_observed() {
     let mut fixture = passed_on_early();
     assert!(fixture.is_resting());
-    // What was passed on was a copy: the response proper comes now.
-    fixture.receive(&response(200, "other")).expect("it is passed on, and ends the connection");
+    // The forwarded response was a copy, and the real response arrives now.
+    fixture.receive(&response(200, "other")).expect("forwarded; the connection ends");
     assert!(fixture.history.repeats(fixture.now));
 }
 
+/// If nothing follows during the observation, the backend sends equal responses, and these are no longer
+/// held.
 #[test]
 fn a_connection_that_was_observed_in_vain_tells_that_the_backend_gives_equal_responses() {
     let mut fixture = passed_on_early();
@@ -236,6 +245,7 @@
     fixture.exchange(&response(200, "first"), false);
 }
 
+/// A copy arrives on the connection of its response.
 #[test]
 fn what_came_on_two_connections_is_no_copy() {
     let mut fixture = Fixture::unknown_backend();
@@ -244,13 +254,15 @@
     fixture.connect_again();
     fixture.exchange(&equal, false);
     fixture.exchange(&equal, false);
-    // Others may be copies still.
+    // Other responses may still be copies.
     let other = response(200, "other");
     fixture.exchange(&other, false);
     fixture.begin_request();
     fixture.receive_held(&other);
 }
 
+/// Guards against a first copy that is forwarded as a response because many other contents are known to be
+/// equal.
 #[test]
 fn however_many_contents_are_given_to_different_requests_others_may_be_copies() {
     let mut fixture = Fixture::unknown_backend();
@@ -262,13 +274,15 @@
     assert_is_no_answer(&mut fixture, &first);
 }
 
+/// Guards against an early forward of a copy where half of the client's remaining time is shorter than the
+/// time in which the response after a copy usually arrives.
 #[test]
 fn a_response_is_not_passed_on_before_the_one_behind_a_copy_usually_comes() {
     let mut fixture = Fixture::unknown_backend();
     let first = response(200, "first");
     fixture.begin_request();
     fixture.now += Duration::from_millis(49);
-    fixture.receive(&first).expect("a response");
+    fixture.receive(&first).expect("response");
     fixture.finish(false);
     fixture.begin_request_within(Duration::from_millis(300));
     fixture.receive_held(&first);
@@ -292,6 +306,8 @@
     }
 }
 
+/// The backend becomes known to repeat while the response is held, so the hold has no end until more bytes
+/// arrive.
 #[test]
 fn what_is_held_once_its_backend_is_known_to_repeat_is_a_copy() {
     let mut fixture = Fixture::unknown_backend();
@@ -303,7 +319,7 @@
     assert_eq!(fixture.filter.held_until(&fixture.history, fixture.now), None);
     fixture.now += fixture.hold_time();
     fixture.filter.release_held(&fixture.history, fixture.now);
-    assert_eq!(fixture.receive(&second).expect("a response"), second);
+    assert_eq!(fixture.receive(&second).expect("response"), second);
 }
 
 #[test]
@@ -312,7 +328,7 @@
     let usual = fixture.history.hold_times().usual;
     fixture.begin_request();
     fixture.now += usual;
-    fixture.receive(&response(200, "slow")).expect("a response");
+    fixture.receive(&response(200, "slow")).expect("response");
     assert!(fixture.history.hold_times().usual > usual);
 }
 
@@ -324,9 +340,10 @@
     fixture.now += 2 * fixture.history.copy_window();
     fixture.begin_request();
     fixture.receive_held(&first);
-    assert_eq!(fixture.receive(&second).expect("a response"), second);
+    assert_eq!(fixture.receive(&second).expect("response"), second);
 }
 
+/// Equal served responses tell nothing about errors.
 #[test]
 fn an_equal_error_is_held_although_equal_responses_are_known() {
     let mut fixture = Fixture::unknown_backend();
@@ -336,9 +353,11 @@
     fixture.begin_request();
     fixture.receive_held(&error);
     let second = response(200, "second");
-    assert_eq!(fixture.receive(&second).expect("a response"), second);
+    assert_eq!(fixture.receive(&second).expect("response"), second);
 }
 
+/// Guards against responses that reach the wrong client: an equal response was forwarded that turns out to
+/// have been a copy, so later responses on the connection belong to earlier requests.
 #[test]
 fn once_a_backend_repeats_a_connection_with_equal_responses_is_not_trusted() {
     let mut fixture = Fixture::unknown_backend();
@@ -346,7 +365,7 @@
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&first, false);
     assert!(fixture.exchange(&second, false));
-    // This is a copy, and what comes next is the response to the request that got it.
+    // This is a copy, and the next response belongs to the request that received it.
     assert!(fixture.exchange(&first, false));
     fixture.begin_request();
     fixture.history.record_repeat(fixture.now);
@@ -354,6 +373,7 @@
     assert!(fixture.receive(&response(200, "third")).is_err());
 }
 
+/// No response to an earlier request can arrive on such a connection any more.
 #[test]
 fn a_connection_on_which_nothing_came_for_long_is_trusted_again() {
     let mut fixture = Fixture::unknown_backend();
@@ -374,10 +394,11 @@
     assert!(fixture.is_resting());
     fixture.now += fixture.history.rest_time();
     assert!(!fixture.is_resting());
-    // It is forgotten then: an equal one is a response.
+    // The first error is forgotten by then, so an equal one is a response.
     fixture.exchange(&error, true);
 }
 
+/// A copy could otherwise be taken for an equal response to the next request.
 #[test]
 fn a_backend_that_gives_equal_responses_and_repeats_some_has_its_connections_rest() {
     let mut fixture = Fixture::repeating_backend();
@@ -390,6 +411,7 @@
     assert!(fixture.is_resting());
 }
 
+/// Errors are usually equal, so they must not cause a cooldown after served responses.
 #[test]
 fn equal_errors_are_no_sign_of_equal_responses() {
     let mut fixture = Fixture::repeating_backend();
@@ -409,7 +431,7 @@
     fixture.exchange(&[interim.as_slice(), &first].concat(), false);
     fixture.begin_request();
     let received = [interim.as_slice(), &first, interim, &second].concat();
-    let passed = fixture.receive(&received).expect("a response");
+    let passed = fixture.receive(&received).expect("response");
     assert_eq!(passed, [interim.as_slice(), interim, &second].concat());
 }
 
@@ -432,12 +454,13 @@
         let (first, second) = (response(200, "first"), response(200, "fired"));
         fixture.exchange(&first, false);
         fixture.begin_request();
-        let mut passed = fixture.receive(&second[..cut]).expect("no copy");
-        passed.extend(fixture.receive(&second[cut..]).expect("no copy"));
+        let mut passed = fixture.receive(&second[..cut]).expect("not a copy");
+        passed.extend(fixture.receive(&second[cut..]).expect("not a copy"));
         assert_eq!(passed, second, "cut at {cut}");
     }
 }
 
+/// A response that is too long to be kept in full cannot be compared in full with its copy.
 #[test]
 fn behind_a_response_too_long_to_be_remembered_a_repeaters_connection_is_not_used_again() {
     let long = response(200, &"x".repeat(MAX_REMEMBERED_BYTES));
@@ -445,6 +468,7 @@
     assert!(Fixture::unknown_backend().exchange(&long, false));
 }
 
+/// A copy of a response that is too long to be compared could not be told from the next response.
 #[test]
 fn behind_a_response_of_which_nothing_is_remembered_no_connection_is_used_again() {
     let longest =
@@ -475,6 +499,7 @@
     assert!(is_untrusted, "{} bytes are held", fixture.filter.held.len());
 }
 
+/// The backend ceases to be known to repeat while part of a response is held.
 #[test]
 fn what_is_held_when_the_backend_is_no_longer_filtered_is_passed_on_in_order() {
     let mut fixture = Fixture::repeating_backend();
@@ -483,7 +508,7 @@
     fixture.begin_request();
     assert_eq!(fixture.receive(&second[..10]).expect("held"), b"");
     fixture.now += repeat_history::REPEATER_MEMORY;
-    assert_eq!(fixture.receive(&second[10..]).expect("no copy"), second);
+    assert_eq!(fixture.receive(&second[10..]).expect("not a copy"), second);
 }
 
 #[test]
@@ -494,11 +519,11 @@
     assert!(!fixture.history.repeats(fixture.now));
 }
 
-/// A connection to a backend that sends each response again now and then, at an arbitrary time.
+/// A connection to a backend that randomly sends responses again, at random times.
 struct RandomBackend {
     random: fastrand::Rng,
     fixture: Fixture,
-    /// Copies that are still to be sent, with the number of their request.
+    /// The copies that are still to be sent, with the number of their request.
     copies: VecDeque<(usize, Vec<u8>)>,
     request_count: usize,
 }
@@ -509,7 +534,7 @@
         RandomBackend { random, fixture, copies: VecDeque::new(), request_count: 0 }
     }
 
-    /// A response unlike all others.
+    /// Creates a response that differs from all others.
     fn response(&mut self) -> (Vec<u8>, bool) {
         let body: String = std::iter::repeat_with(|| self.random.alphanumeric()).take(BODY_LENGTH).collect();
         match self.random.u8(..4) {
@@ -519,7 +544,7 @@
         }
     }
 
-    /// Some of the copies that are to be sent.
+    /// Takes some of the copies that are still to be sent.
     fn take_copies(&mut self) -> Vec<u8> {
         let oldest = (self.request_count + 1).saturating_sub(MAX_REMEMBERED_RESPONSES);
         let due = self.copies.iter().take_while(|(request, _)| *request <= oldest).count();
@@ -529,18 +554,18 @@
         copies.into_iter().flat_map(|(_, copy)| copy).collect()
     }
 
-    /// Sends bytes in pieces, and gives what is passed on.
+    /// Sends bytes in random pieces and returns what is forwarded.
     fn send(&mut self, mut bytes: &[u8]) -> Vec<u8> {
         let mut passed = Vec::new();
         while !bytes.is_empty() {
             let (piece, rest) = bytes.split_at(self.random.usize(1..=bytes.len()));
-            passed.extend(self.fixture.receive(piece).expect("no copy breaks off"));
+            passed.extend(self.fixture.receive(piece).expect("no truncated copy"));
             bytes = rest;
         }
         passed
     }
 
-    /// Waits as the pool does before a connection that rests is used.
+    /// Waits for the end of the connection's cooldown, as the pool does.
     fn wait_until_rested(&mut self) {
         if self.fixture.is_resting() {
             self.fixture.now += self.fixture.history.rest_time();
@@ -548,14 +573,14 @@
         }
     }
 
-    /// One request; false once the connection can't be used again.
+    /// Runs one request. Returns `false` if the connection can't be used again.
     fn exchange(&mut self) -> bool {
         self.wait_until_rested();
         self.fixture.begin_request();
         let (response, is_error) = self.response();
         let mut received = self.take_copies();
         received.extend(&response);
-        assert_eq!(self.send(&received), response, "each request gets its own response");
+        assert_eq!(self.send(&received), response, "each request receives its own response");
         if self.random.bool() {
             self.copies.push_back((self.request_count, response));
         }
@@ -577,24 +602,25 @@
     }
 }
 
-/// So long after a response its copy comes, where that is slow.
+/// The delay of a slow copy after its response.
 const COPY_DELAY: Duration = Duration::from_millis(100);
 
-/// Takes what would be the copy of a response if it were sent again, and then a response unlike all others: gives what
-/// is passed on of both.
+/// Receives a possible copy of a response and then a response that differs from all others. Returns what is
+/// forwarded of both.
 fn passed_of_copy_and_response(fixture: &mut Fixture, copy: &[u8]) -> String {
     fixture.begin_request();
-    let mut passed = fixture.receive(copy).expect("it is held or dropped");
-    passed.extend(fixture.receive(&response(200, "unlike")).expect("a response"));
-    String::from_utf8(passed).expect("text")
+    let mut passed = fixture.receive(copy).expect("held or dropped");
+    passed.extend(fixture.receive(&response(200, "unlike")).expect("response"));
+    String::from_utf8(passed).expect("UTF-8")
 }
 
 fn assert_is_no_answer(fixture: &mut Fixture, copy: &[u8]) {
     let passed = passed_of_copy_and_response(fixture, copy);
-    let expected = String::from_utf8(response(200, "unlike")).expect("text");
-    assert!(passed == expected, "{} bytes are passed on for {}", passed.len(), expected.len());
+    let expected = String::from_utf8(response(200, "unlike")).expect("UTF-8");
+    assert!(passed == expected, "{} bytes were forwarded instead of {}", passed.len(), expected.len());
 }
 
+/// Guards against a first copy that is forwarded because the response is too long to be kept in full.
 #[test]
 fn the_first_copy_of_a_response_too_long_to_be_remembered_is_no_answer() {
     let mut fixture = Fixture::unknown_backend();
@@ -604,6 +630,7 @@
     }
 }
 
+/// Guards against a first copy that is forwarded because a later long response has displaced its response.
 #[test]
 fn the_first_copy_of_the_response_before_the_last_is_no_answer_where_both_are_long() {
     let mut fixture = Fixture::unknown_backend();
@@ -613,6 +640,7 @@
     assert_is_no_answer(&mut fixture, &long("a"));
 }
 
+/// Guards against a first copy that is forwarded because many fast responses have displaced its response.
 #[test]
 fn the_first_copy_behind_many_fast_responses_is_no_answer() {
     let mut fixture = Fixture::unknown_backend();
@@ -629,7 +657,7 @@
     assert_is_no_answer(&mut fixture, &first);
 }
 
-/// Errors that a backend gives on two connections each, and rightly so.
+/// Sends each error on two connections, which shows that they are not copies.
 fn give_equal_errors(fixture: &mut Fixture, errors: &[Vec<u8>]) {
     for _ in 0..2 {
         for error in errors {
@@ -640,6 +668,7 @@
     }
 }
 
+/// Guards against a first copy that is forwarded because errors of the same backend are known to be equal.
 #[test]
 fn however_many_errors_are_equal_the_first_copy_of_a_served_response_is_no_answer() {
     let mut fixture = Fixture::unknown_backend();
@@ -650,6 +679,7 @@
     assert_is_no_answer(&mut fixture, &first);
 }
 
+/// The same for a backend that is known to repeat.
 #[test]
 fn however_many_errors_are_equal_the_copy_of_a_served_response_of_a_repeater_is_dropped() {
     let mut fixture = Fixture::unknown_backend();
@@ -660,9 +690,11 @@
     fixture.exchange(&first, false);
     fixture.begin_request();
     fixture.receive_held(&first);
-    assert_eq!(fixture.filter.held_until(&fixture.history, fixture.now), None, "it becomes the answer");
+    assert_eq!(fixture.filter.held_until(&fixture.history, fixture.now), None, "the copy would be forwarded");
 }
 
+/// Guards against a copy of an error that is forwarded as the response to the next request because different
+/// requests are known to have received this error.
 #[test]
 fn the_first_copy_of_an_error_that_different_requests_got_is_no_word_on_the_next_request() {
     let mut fixture = Fixture::unknown_backend();
@@ -670,12 +702,14 @@
     give_equal_errors(&mut fixture, std::slice::from_ref(&error));
     fixture.exchange(&error, true);
     fixture.now += COPY_DELAY;
-    // Where the connection still rests nobody takes it for an answer.
+    // During its cooldown the connection receives no request that the copy could answer.
     if !fixture.is_resting() {
         assert_is_no_answer(&mut fixture, &error);
     }
 }
 
+/// Guards against responses that reach the wrong client: if the copy of a known error is forwarded, the real
+/// response follows and would be taken for the response to the next request.
 #[test]
 fn behind_the_first_copy_of_a_known_error_the_response_proper_is_no_other_requests_answer() {
     let mut fixture = Fixture::unknown_backend();
@@ -687,16 +721,17 @@
         return;
     }
     fixture.begin_request();
-    let is_taken = !fixture.receive(&error).expect("it is held or passed on").is_empty();
+    let is_taken = !fixture.receive(&error).expect("held or forwarded").is_empty();
     let is_used_again = is_taken && fixture.finish(true);
     fixture.now += COPY_DELAY;
     if is_used_again && !fixture.is_resting() {
         fixture.begin_request();
-        let passed = fixture.receive(&response(200, "of the request before")).unwrap_or_default();
-        assert!(passed.is_empty(), "a client gets the answer of another's request");
+        let passed = fixture.receive(&response(200, "of the previous request")).unwrap_or_default();
+        assert!(passed.is_empty(), "a client receives the response to another request");
     }
 }
 
+/// Guards against a hold that remains set after the response arrived in pieces.
 #[test]
 fn a_connection_does_not_rest_behind_an_equal_response_in_pieces_of_known_content() {
     let equal = response(200, "equal");
@@ -706,22 +741,24 @@
         fixture.exchange(&equal, false);
         fixture.begin_request();
         fixture.receive_held(&equal[..cut]);
-        assert_eq!(fixture.receive(&equal[cut..]).expect("the answer"), equal);
+        assert_eq!(fixture.receive(&equal[cut..]).expect("response"), equal);
         assert!(fixture.finish(false));
         assert!(!fixture.is_resting(), "cut at {cut}");
     }
 }
 
+/// Guards against slow backends that look fast: the time until the rest of a response arrives is the time of
+/// the backend and not of the filter.
 #[test]
 fn the_time_in_which_the_rest_of_a_response_does_not_come_is_its_backends() {
     let mut fixture = Fixture::unknown_backend();
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&first, false);
     fixture.begin_request();
-    let cut = head_length(&second).expect("a head");
+    let cut = head_length(&second).expect("complete head");
     fixture.receive_held(&second[..cut]);
     assert_eq!(fixture.release(), second[..cut]);
-    assert_eq!(fixture.receive(&second[cut..]).expect("the rest"), second[cut..]);
+    assert_eq!(fixture.receive(&second[cut..]).expect("rest of the response"), second[cut..]);
     assert_eq!(fixture.filter.held_for(), Duration::ZERO);
 }
 
@@ -737,6 +774,7 @@
     }
 }
 
+/// Two copies of the same response arrive before the next response.
 #[test]
 fn a_second_copy_of_an_unlike_response_is_no_answer() {
     let mut fixture = Fixture::unknown_backend();
@@ -745,6 +783,7 @@
     assert_is_no_answer(&mut fixture, &[first.as_slice(), &first].concat());
 }
 
+/// The delay of its earlier copies must be forgotten.
 #[test]
 fn a_backend_that_no_longer_repeats_has_its_connections_rest_no_longer_than_others() {
     let mut fixture = Fixture::unknown_backend();
@@ -756,6 +795,8 @@
     assert!(!fixture.is_resting());
 }
 
+/// Guards against a hold that counts from the start of an interim response in pieces instead of the start of
+/// the response.
 #[test]
 fn a_response_behind_an_interim_one_in_pieces_is_held_as_long_as_others() {
     let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
@@ -765,7 +806,7 @@
         fixture.exchange(&first, false);
         fixture.begin_request();
         let mut passed = fixture.receive(&interim[..cut]).expect("held");
-        passed.extend(fixture.receive(&interim[cut..]).expect("an interim response"));
+        passed.extend(fixture.receive(&interim[cut..]).expect("interim response"));
         assert_eq!(passed, interim);
         fixture.now += fixture.hold_time();
         fixture.receive_held(&first);
@@ -775,10 +816,10 @@
     }
 }
 
-/// Far more than a backend has to give before an equal response is unlikely.
+/// Far more responses than a backend must have sent before equal ones count as rare.
 const MANY_RESPONSES: u32 = 20;
 
-/// Gives a response twice, rightly so, and tells how long the second is held.
+/// Sends a response twice, to two requests, and returns how long the second one is held.
 fn hold_time_of_equal(fixture: &mut Fixture, body: &str) -> Duration {
     let equal = response(200, body);
     fixture.exchange(&equal, false);
@@ -790,12 +831,14 @@
     fixture.now - came_at
 }
 
+/// Such a response is more likely a copy than not.
 #[test]
 fn an_equal_response_among_many_distinct_ones_is_held_as_long_as_a_response_may_take() {
     let mut fixture = Fixture::with_distinct_responses(MANY_RESPONSES);
     assert_eq!(hold_time_of_equal(&mut fixture, "equal"), repeat_history::MAX_HOLD_TIME);
 }
 
+/// After few responses it is not known that equal ones are rare.
 #[test]
 fn where_few_responses_came_an_equal_one_is_held_no_longer_than_usual() {
     let mut fixture = Fixture::with_distinct_responses(1);
@@ -803,6 +846,7 @@
     assert_eq!(hold_time_of_equal(&mut fixture, "equal"), usual);
 }
 
+/// Errors are usually equal, so an equal one is no sign of a copy.
 #[test]
 fn an_equal_error_among_many_distinct_responses_is_held_no_longer_than_usual() {
     let mut fixture = Fixture::with_distinct_responses(MANY_RESPONSES);
@@ -816,6 +860,7 @@
     assert_eq!(fixture.now - came_at, fixture.hold_time());
 }
 
+/// Guards against a long hold on each backend of a tier that sends equal responses.
 #[test]
 fn a_tier_that_gives_equal_responses_pays_the_long_hold_once() {
     let tier = Rc::<DistinctRun>::default();
@@ -830,6 +875,7 @@
     }
 }
 
+/// It shows that the tier sends equal responses, so no long hold follows.
 #[test]
 fn an_equal_response_of_two_connections_is_one_that_the_tier_gives() {
     let mut fixture = Fixture::with_distinct_responses(MANY_RESPONSES);
