--- a/crates/proxy/src/downstream/accept_queue.rs
+++ b/crates/proxy/src/downstream/accept_queue.rs
@@ -1,6 +1,6 @@
 //! The system's queue of connections that wait to be accepted, and since when they may have waited.
 
-use crate::transport::stamp_arrivals;
+use crate::transport::enable_receive_timestamps;
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use std::cell::Cell;
 use std::future::poll_fn;
@@ -25,7 +25,7 @@
     /// The queue of a listener that has just been made.
     pub(super) fn new(listener: TcpListener) -> Self {
         AcceptQueue {
-            has_stamps: stamp_arrivals(&listener),
+            has_stamps: enable_receive_timestamps(&listener),
             listener,
             asks_system: Cell::new(false),
             empty_at: Cell::new(Instant::now()),
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -17,7 +17,7 @@
 use crate::log::log;
 use crate::transport::{
     ArrivalProbe, ClientSocket, MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEADERS, ObservedStream, RequestPayload,
-    SendGuard, StreamedUpload, UnreadProbe, prepare,
+    SendGuard, StreamedUpload, UnreadProbe, configure_socket,
 };
 use crate::upstream::{UpstreamRequest, printable_id};
 use bytes::Bytes;
@@ -87,10 +87,10 @@
         is_past_limit: bool,
         waiting_since: Option<Instant>,
     ) -> Self {
-        let is_prepared = prepare(&stream).is_ok();
+        let is_prepared = configure_socket(&stream).is_ok();
         let socket = ClientSocket::new(stream);
         let arrival_probe = waiting_since.map(|earliest| ArrivalProbe::new(socket.clone(), earliest));
-        let stream = ObservedStream::with_arrivals(socket.clone(), arrival_probe);
+        let stream = ObservedStream::with_arrival_probe(socket.clone(), arrival_probe);
         let guard = ConnectionGuard::new(&server.table, stream.progress(), socket.liveness());
         let state = guard.state.clone();
         state.progress.expect_head();
@@ -178,7 +178,7 @@
     /// comes. On one that was used a request that crosses the close may be sent again.
     fn reject_first_request(&self) {
         if !self.state.was_answered.get() {
-            self.socket.send_last(&rejected_response_bytes(self.server.retry_after()));
+            self.socket.write_final_message(&rejected_response_bytes(self.server.retry_after()));
         }
     }
 
--- a/crates/proxy/src/transport/arrival.rs
+++ b/crates/proxy/src/transport/arrival.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 /// Bytes that arrived more recently than this count from the time of their read.
-const MIN_WAIT: Duration = Duration::from_millis(10);
+const MIN_REPORTED_AGE: Duration = Duration::from_millis(10);
 /// The permitted drift between the clock of the kernel's timestamps and the program's clock while a
 /// connection waits.
 const CLOCK_TOLERANCE: Duration = Duration::from_millis(10);
@@ -19,7 +19,7 @@
 const MAX_PEEKED_BYTES: usize = super::MAX_HEAD_BYTES;
 
 /// Enables the kernel's receive timestamps on the connections of a listener. Returns `false` if that fails.
-pub fn stamp_arrivals(listener: &impl AsFd) -> bool {
+pub fn enable_receive_timestamps(listener: &impl AsFd) -> bool {
     setsockopt(listener, ReceiveTimestampns, &true).is_ok()
 }
 
@@ -37,14 +37,14 @@
 
     /// Returns the arrival time of the last byte that a read of `read_bytes` bytes would return. Returns
     /// `None` if that byte has not waited for long or its arrival time is unknown.
-    pub(super) fn waiting_since(&self, read_bytes: usize) -> Option<Instant> {
-        let stamp = self.socket.with_stream(|socket| last_stamp(socket, read_bytes))?;
+    pub(super) fn arrival_time(&self, read_bytes: usize) -> Option<Instant> {
+        let timestamp = self.socket.with_stream(|socket| last_arrival_timestamp(socket, read_bytes))?;
         // A timestamp in the future, or from before the earliest possible arrival, comes from a clock that
         // differs from the program's.
-        let age = SystemTime::now().duration_since(stamp).ok()?;
+        let age = SystemTime::now().duration_since(timestamp).ok()?;
         let now = Instant::now();
         let longest = now.saturating_duration_since(self.earliest);
-        if age < MIN_WAIT || age > longest + CLOCK_TOLERANCE {
+        if age < MIN_REPORTED_AGE || age > longest + CLOCK_TOLERANCE {
             return None;
         }
         now.checked_sub(age.min(longest))
@@ -52,15 +52,15 @@
 }
 
 /// Returns the kernel's timestamp of the last byte that a read would return.
-fn last_stamp(socket: &impl AsRawFd, read_bytes: usize) -> Option<SystemTime> {
-    let mut space = [0; MAX_PEEKED_BYTES];
-    let mut peeked = [IoSliceMut::new(&mut space[..read_bytes.min(MAX_PEEKED_BYTES)])];
+fn last_arrival_timestamp(socket: &impl AsRawFd, read_bytes: usize) -> Option<SystemTime> {
+    let mut storage = [0; MAX_PEEKED_BYTES];
+    let mut peeked = [IoSliceMut::new(&mut storage[..read_bytes.min(MAX_PEEKED_BYTES)])];
     let mut control = nix::cmsg_space!(TimeSpec);
     let flags = MsgFlags::MSG_PEEK | MsgFlags::MSG_DONTWAIT;
     let message = recvmsg::<()>(socket.as_raw_fd(), &mut peeked, Some(&mut control), flags).ok()?;
     message.cmsgs().ok()?.find_map(|control_message| match control_message {
-        ControlMessageOwned::ScmTimestampns(stamp) => {
-            SystemTime::UNIX_EPOCH.checked_add(Duration::from(stamp))
+        ControlMessageOwned::ScmTimestampns(timestamp) => {
+            SystemTime::UNIX_EPOCH.checked_add(Duration::from(timestamp))
         }
         _ => None,
     })
--- a/crates/proxy/src/transport/client_socket.rs
+++ b/crates/proxy/src/transport/client_socket.rs
@@ -19,7 +19,7 @@
 /// How long input is read and discarded after the half-close. The client only needs time to see the close.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The maximum number of bytes that are discarded during a lingering close.
-const LINGERING_CLOSE_BYTES: u64 = 1 << 20;
+const MAX_LINGERING_CLOSE_BYTES: u64 = 1 << 20;
 /// How often the end of the input is polled for while unread bytes precede it.
 const DISCONNECT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -75,7 +75,7 @@
 
     /// Writes a short final message directly to the socket, past the HTTP library and the reactor. Only the
     /// part that the kernel accepts at once is sent.
-    pub fn send_last(&self, message: &[u8]) {
+    pub fn write_final_message(&self, message: &[u8]) {
         let stream = self.0.borrow();
         // An error means that the client has disconnected.
         let _ = (&*SockRef::from(stream.inner())).write(message);
@@ -87,13 +87,13 @@
     pub async fn lingering_close(self) {
         let Some(stream) = Rc::into_inner(self.0) else { return };
         let mut stream = stream.into_inner().into_inner();
-        let rest = async {
+        let discard_input = async {
             // The shutdown fails if the connection is already closed.
             let _ = stream.shutdown().await;
-            copy(&mut stream.take(LINGERING_CLOSE_BYTES), &mut sink()).await
+            copy(&mut stream.take(MAX_LINGERING_CLOSE_BYTES), &mut sink()).await
         };
         // Ends when the client closes the connection too, or at the timeout.
-        let _ = timeout(LINGERING_CLOSE_TIMEOUT, rest).await;
+        let _ = timeout(LINGERING_CLOSE_TIMEOUT, discard_input).await;
     }
 }
 
--- a/crates/proxy/src/transport/mod.rs
+++ b/crates/proxy/src/transport/mod.rs
@@ -10,7 +10,7 @@
 mod tests;
 mod unread_probe;
 
-pub use arrival::{ArrivalProbe, stamp_arrivals};
+pub use arrival::{ArrivalProbe, enable_receive_timestamps};
 pub use body::{BodyContent, FrameSender, StreamedBody, StreamedUpload, UploadStatus};
 pub use client_socket::{ClientLiveness, ClientSocket};
 pub use observed_stream::ObservedStream;
@@ -38,7 +38,7 @@
 const SEND_BUFFER_BYTES: usize = 128 * 1024;
 
 /// Configures the socket of a client or backend connection for small writes and for slow readers.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub fn configure_socket(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_send_buffer_size(SEND_BUFFER_BYTES)
 }
--- a/crates/proxy/src/transport/observed_stream.rs
+++ b/crates/proxy/src/transport/observed_stream.rs
@@ -34,7 +34,7 @@
 
     /// Wraps the stream of a new connection, on which bytes may have waited to be read. Those bytes count
     /// from their arrival.
-    pub fn with_arrivals(stream: S, arrival_probe: Option<ArrivalProbe>) -> Self {
+    pub fn with_arrival_probe(stream: S, arrival_probe: Option<ArrivalProbe>) -> Self {
         ObservedStream { arrival_probe, ..ObservedStream::new(stream) }
     }
 
@@ -57,9 +57,9 @@
         }
         self.stall_timer = None;
         if matches!(result, Poll::Ready(Ok(1..))) {
-            write.has_begun.set(true);
-            if let Some(waiter) = write.first_byte_waiter.take() {
-                waiter.wake();
+            write.is_request_started.set(true);
+            if let Some(waker) = write.first_byte_waker.take() {
+                waker.wake();
             }
         }
         result
@@ -67,18 +67,18 @@
 
     /// Returns when the bytes that a read of `read_bytes` bytes would return arrived, or `None` if they have
     /// not waited. After the first `None`, all bytes count from the time of their read.
-    fn waiting_since(&mut self, read_bytes: usize) -> Option<Instant> {
-        let waiting_since = self.arrival_probe.as_ref()?.waiting_since(read_bytes);
-        if waiting_since.is_none() {
+    fn arrival_time(&mut self, read_bytes: usize) -> Option<Instant> {
+        let arrival_time = self.arrival_probe.as_ref()?.arrival_time(read_bytes);
+        if arrival_time.is_none() {
             self.arrival_probe = None;
         }
-        waiting_since
+        arrival_time
     }
 
-    fn observe_read(&self, waiting_since: Option<Instant>) {
+    fn observe_read(&self, arrival_time: Option<Instant>) {
         let read = &self.progress.read;
         let now = Instant::now();
-        read.last_byte_at.set(Some(waiting_since.unwrap_or(now)));
+        read.last_byte_at.set(Some(arrival_time.unwrap_or(now)));
         if read.first_byte_at.get().is_none() {
             read.first_byte_at.set(Some(now));
         }
@@ -111,9 +111,9 @@
         most_bytes: usize,
         observe: impl FnOnce(&[u8]),
     ) -> Poll<io::Result<()>> {
-        let mut space = [MaybeUninit::uninit(); MAX_HEAD_BYTES];
-        let length = buffer.remaining().min(most_bytes).min(space.len());
-        let mut read = ReadBuf::uninit(&mut space[..length]);
+        let mut storage = [MaybeUninit::uninit(); MAX_HEAD_BYTES];
+        let length = buffer.remaining().min(most_bytes).min(storage.len());
+        let mut read = ReadBuf::uninit(&mut storage[..length]);
         ready!(Pin::new(&mut self.stream).poll_read(context, read.unfilled()))?;
         observe(read.filled());
         buffer.put_slice(read.filled());
@@ -127,11 +127,11 @@
         buffer: ReadBufCursor<'_>,
         mut head: Vec<u8>,
     ) -> Poll<io::Result<()>> {
-        let waiting_since = self.waiting_since(buffer.remaining().min(HEAD_READ_BYTES));
+        let arrival_time = self.arrival_time(buffer.remaining().min(HEAD_READ_BYTES));
         let read = self.read_at_most(context, buffer, HEAD_READ_BYTES, |bytes| head.extend_from_slice(bytes));
         self.progress.read.head.replace(Some(head));
         if read.is_ready() {
-            self.observe_read(waiting_since);
+            self.observe_read(arrival_time);
         }
         read
     }
@@ -144,11 +144,11 @@
         remaining: u64,
     ) -> Poll<io::Result<()>> {
         let most_bytes = usize::try_from(remaining).unwrap_or(usize::MAX);
-        let waiting_since = self.waiting_since(buffer.remaining().min(most_bytes));
+        let arrival_time = self.arrival_time(buffer.remaining().min(most_bytes));
         let mut length = 0;
         let read = self.read_at_most(context, buffer, most_bytes, |bytes| length = bytes.len());
         if read.is_ready() {
-            self.observe_read(waiting_since);
+            self.observe_read(arrival_time);
             self.progress.read.count_body(length);
         }
         read
@@ -167,20 +167,20 @@
         let head = self.progress.read.head.take().filter(|head| head.len() < MAX_HEAD_BYTES);
         match head {
             Some(head) => self.poll_read_head(context, buffer, head),
-            None => self.poll_read_other(context, buffer),
+            None => self.poll_read_uninspected(context, buffer),
         }
     }
 
     /// Reads bytes that are not inspected.
-    fn poll_read_other(
+    fn poll_read_uninspected(
         &mut self,
         context: &mut Context<'_>,
         buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let waiting_since = self.waiting_since(buffer.remaining());
+        let arrival_time = self.arrival_time(buffer.remaining());
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         if read.is_ready() {
-            self.observe_read(waiting_since);
+            self.observe_read(arrival_time);
         }
         read
     }
@@ -225,7 +225,7 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let write = &self.progress.write;
-        if write.has_begun.get() && write.is_body_taken.get() {
+        if write.is_request_started.get() && write.is_body_taken.get() {
             write.is_flushed.set(true);
         }
         write.has_unsent.set(false);
--- a/crates/proxy/src/transport/progress.rs
+++ b/crates/proxy/src/transport/progress.rs
@@ -48,14 +48,14 @@
 pub(super) struct WriteProgress {
     /// Whether a new request is about to be written.
     pub(super) is_request_due: Cell<bool>,
-    pub(super) has_begun: Cell<bool>,
+    pub(super) is_request_started: Cell<bool>,
     pub(super) is_body_taken: Cell<bool>,
     pub(super) is_flushed: Cell<bool>,
     pub(super) has_unsent: Cell<bool>,
     /// Called right before the first byte of a request.
     pub(super) guard: RefCell<Option<SendGuard>>,
     /// The task that waits for the first byte of the request to be written.
-    pub(super) first_byte_waiter: RefCell<Option<Waker>>,
+    pub(super) first_byte_waker: RefCell<Option<Waker>>,
 }
 
 impl StreamProgress {
@@ -115,13 +115,13 @@
     pub fn begin_request(&self) {
         self.write.is_request_due.set(true);
         self.write.is_body_taken.set(false);
-        self.write.has_begun.set(false);
+        self.write.is_request_started.set(false);
         self.write.is_flushed.set(false);
     }
 
     /// Returns whether any byte of the request was written to the socket.
-    pub fn has_begun(&self) -> bool {
-        self.write.has_begun.get()
+    pub fn is_request_started(&self) -> bool {
+        self.write.is_request_started.get()
     }
 
     /// Returns whether the last byte of the request was written to the socket. The HTTP library flushes a
--- a/crates/proxy/src/transport/request_body.rs
+++ b/crates/proxy/src/transport/request_body.rs
@@ -46,7 +46,7 @@
     fn drop(&mut self) {
         // No byte of the request was written, so nothing was taken from its body and the next attempt can
         // send it.
-        if self.progress.has_begun() {
+        if self.progress.is_request_started() {
             return;
         }
         if let (Some(upload), Some(BodyContent::Streamed(body))) = (&self.upload, self.content.take()) {
@@ -67,8 +67,8 @@
         let write = &this.progress.write;
         // A reused connection may turn out to be closed when the first byte is written. A streamed body stays
         // complete until then, so that it can be sent over another connection.
-        if this.upload.is_some() && !write.has_begun.get() {
-            write.first_byte_waiter.replace(Some(context.waker().clone()));
+        if this.upload.is_some() && !write.is_request_started.get() {
+            write.first_byte_waker.replace(Some(context.waker().clone()));
             return Poll::Pending;
         }
         let Some(content) = &mut this.content else { return Poll::Ready(None) };
--- a/crates/proxy/src/transport/tests.rs
+++ b/crates/proxy/src/transport/tests.rs
@@ -17,9 +17,9 @@
     }
 }
 
-/// Sends a request with a body over an in-memory connection whose far end is driven by `other` and then
+/// Sends a request with a body over an in-memory connection whose far end is driven by `drive_far_end` and then
 /// closed. Returns whether the request was written completely before that.
-async fn broken_after(body: usize, other: impl AsyncFnOnce(&mut DuplexStream)) -> bool {
+async fn completes_before_close(body: usize, drive_far_end: impl AsyncFnOnce(&mut DuplexStream)) -> bool {
     let (near, mut far) = duplex(1024);
     LocalSet::new()
         .run_until(async {
@@ -32,10 +32,10 @@
             let payload = RequestPayload::Buffered(vec![b'x'; body].into());
             let body = RequestBody::new(&payload, progress.clone()).expect("the body is available");
             let request = Request::post("/").header("host", "b").body(body).expect("valid request");
-            let answer = spawn_local(async move { sender.send_request(request).await.is_ok() });
-            other(&mut far).await;
+            let response = spawn_local(async move { sender.send_request(request).await.is_ok() });
+            drive_far_end(&mut far).await;
             drop(far);
-            assert!(!answer.await.expect("no panic"), "the far end never responds");
+            assert!(!response.await.expect("no panic"), "the far end never responds");
             progress.is_request_complete()
         })
         .await
@@ -43,47 +43,47 @@
 
 async fn read_request(far: &mut DuplexStream, body: usize) {
     let mut seen = Vec::new();
-    while !seen.windows(4).any(|w| w == b"\r\n\r\n") || !seen.ends_with(&vec![b'x'; body]) {
+    while !seen.windows(4).any(|window| window == b"\r\n\r\n") || !seen.ends_with(&vec![b'x'; body]) {
         assert_ne!(far.read_buf(&mut seen).await.expect("open connection"), 0, "the request is truncated");
     }
 }
 
 #[tokio::test]
-async fn a_request_cut_short_never_ran() {
+async fn truncated_request_is_not_complete() {
     // The far end reads a part of the body. The HTTP library still has the rest.
-    assert!(!broken_after(60_000, async |far| drop(far.read(&mut [0; 512]).await)).await);
-    assert!(!broken_after(60_000, async |_| {}).await);
+    assert!(!completes_before_close(60_000, async |far| drop(far.read(&mut [0; 512]).await)).await);
+    assert!(!completes_before_close(60_000, async |_| {}).await);
 }
 
 #[tokio::test]
-async fn a_request_written_whole_may_have_run() {
-    assert!(broken_after(60_000, async |far| read_request(far, 60_000).await).await);
-    assert!(broken_after(0, async |far| read_request(far, 0).await).await);
+async fn fully_written_request_is_complete() {
+    assert!(completes_before_close(60_000, async |far| read_request(far, 60_000).await).await);
+    assert!(completes_before_close(0, async |far| read_request(far, 0).await).await);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_write_that_makes_no_headway_fails() {
+async fn stalled_write_times_out() {
     // The far end stays open and reads nothing, so only the timeout ends the write.
-    assert!(!broken_after(60_000, async |_| sleep(WRITE_STALL_TIMEOUT * 2).await).await);
+    assert!(!completes_before_close(60_000, async |_| sleep(WRITE_STALL_TIMEOUT * 2).await).await);
     let (near, _far) = duplex(8);
     let mut stream = ObservedStream::new(TokioIo::new(near));
-    let write = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, &[0; 8]));
+    let write = std::future::poll_fn(|context| Pin::new(&mut stream).poll_write(context, &[0; 8]));
     assert_eq!(write.await.expect("buffer space"), 8);
-    let write = std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, &[0; 8]));
+    let write = std::future::poll_fn(|context| Pin::new(&mut stream).poll_write(context, &[0; 8]));
     assert_eq!(write.await.expect_err("stalled write").kind(), io::ErrorKind::TimedOut);
 }
 
 #[tokio::test]
-async fn whether_a_client_is_connected_is_known_at_once() {
+async fn client_disconnect_is_seen_at_once() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("free port");
-    let addr = listener.local_addr().expect("bound socket");
+    let address = listener.local_addr().expect("bound socket");
     let pair = async || {
-        let far = TcpStream::connect(addr).await.expect("connect");
+        let far = TcpStream::connect(address).await.expect("connect");
         let (near, _) = listener.accept().await.expect("accept");
         let near = ClientSocket::new(near);
         (near.liveness(), near, far)
     };
-    let end =
+    let half_close =
         |far: &TcpStream| SockRef::from(far).shutdown(std::net::Shutdown::Write).expect("open connection");
 
     let (liveness, _near, far) = pair().await;
@@ -92,7 +92,7 @@
     assert!(liveness.is_connected(), "unread bytes are not a close");
     // Nothing is awaited in between, so neither the reactor nor another task has seen the close.
     let (liveness, _near, far) = pair().await;
-    end(&far);
+    half_close(&far);
     assert!(!liveness.is_connected());
     let (liveness, _near, far) = pair().await;
     SockRef::from(&far).set_linger(Some(Duration::ZERO)).expect("open connection");
@@ -101,7 +101,7 @@
     // The reactor has to report a close behind unread bytes first.
     let (liveness, _near, far) = pair().await;
     assert_eq!(far.try_write(b"more").expect("buffer space"), 4);
-    end(&far);
+    half_close(&far);
     sleep(Duration::ZERO).await;
     while liveness.is_connected() {
         tokio::task::yield_now().await;
@@ -112,18 +112,18 @@
 }
 
 #[tokio::test]
-async fn nothing_is_written_where_something_lies_unread() {
+async fn request_is_not_written_over_unread_bytes() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("free port");
-    let addr = listener.local_addr().expect("bound socket");
-    let near = TcpStream::connect(addr).await.expect("connect");
+    let address = listener.local_addr().expect("bound socket");
+    let near = TcpStream::connect(address).await.expect("connect");
     let (mut far, _) = listener.accept().await.expect("accept");
     let mut stream = ObservedStream::new(TokioIo::new(near));
     let progress = stream.progress();
-    let mut write = async |fresh: bool| {
-        if fresh {
+    let mut write = async |is_new_request: bool| {
+        if is_new_request {
             progress.begin_request();
         }
-        std::future::poll_fn(|cx| Pin::new(&mut stream).poll_write(cx, b"request")).await
+        std::future::poll_fn(|context| Pin::new(&mut stream).poll_write(context, b"request")).await
     };
     assert_eq!(write(true).await.expect("no unread bytes"), 7);
     // A late response has arrived without the reactor's knowledge. It stops a new request but not one that is
@@ -131,14 +131,14 @@
     far.write_all(b"late").await.expect("open connection");
     assert_eq!(write(false).await.expect("continued request"), 7);
     assert_eq!(write(true).await.expect_err("unread bytes").kind(), io::ErrorKind::InvalidData);
-    assert!(!progress.has_begun());
+    assert!(!progress.is_request_started());
 }
 
-/// How long the bytes wait in these tests. The kernel's clock may differ by `CLOCK_SLACK`.
-const WAIT: Duration = Duration::from_millis(50);
-const CLOCK_SLACK: Duration = Duration::from_millis(10);
+/// How long the bytes wait in these tests. The kernel's clock may differ by `CLOCK_TOLERANCE`.
+const WAIT_TIME: Duration = Duration::from_millis(50);
+const CLOCK_TOLERANCE: Duration = Duration::from_millis(10);
 /// The kernel starts to add timestamps a moment after they are enabled.
-const STAMP_TRIES: usize = 20;
+const TIMESTAMP_ATTEMPTS: usize = 20;
 
 /// Both ends of a new connection on which bytes have waited, and the limits of their arrival time.
 struct WaitingBytes {
@@ -148,28 +148,36 @@
     sent_before: Instant,
 }
 
-async fn waiting_bytes(is_stamped: bool) -> WaitingBytes {
+async fn connection_with_waiting_bytes(has_timestamp: bool) -> WaitingBytes {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("free port");
-    if is_stamped {
-        assert!(stamp_arrivals(&listener), "receive timestamps can be enabled");
+    if has_timestamp {
+        assert!(enable_receive_timestamps(&listener), "receive timestamps can be enabled");
     }
     let mut far = TcpStream::connect(listener.local_addr().expect("bound socket")).await.expect("connect");
     let sent_after = Instant::now();
     far.write_all(b"request").await.expect("open connection");
     let sent_before = Instant::now();
-    sleep(WAIT).await;
+    sleep(WAIT_TIME).await;
     let (near, _) = listener.accept().await.expect("accept");
     WaitingBytes { near: ClientSocket::new(near), _far: far, sent_after, sent_before }
 }
 
 #[tokio::test]
-async fn bytes_that_waited_count_from_when_they_came() {
-    for _ in 0..STAMP_TRIES {
-        let bytes = waiting_bytes(true).await;
+async fn waiting_bytes_count_from_their_arrival() {
+    for _ in 0..TIMESTAMP_ATTEMPTS {
+        let bytes = connection_with_waiting_bytes(true).await;
         let probe = ArrivalProbe::new(bytes.near.clone(), bytes.sent_after);
-        let Some(came_at) = probe.waiting_since(MAX_HEAD_BYTES) else { continue };
-        assert!(came_at + CLOCK_SLACK >= bytes.sent_after, "{:?} too early", bytes.sent_after - came_at);
-        assert!(came_at <= bytes.sent_before + CLOCK_SLACK, "{:?} too late", came_at - bytes.sent_before);
+        let Some(arrived_at) = probe.arrival_time(MAX_HEAD_BYTES) else { continue };
+        assert!(
+            arrived_at + CLOCK_TOLERANCE >= bytes.sent_after,
+            "{:?} too early",
+            bytes.sent_after - arrived_at
+        );
+        assert!(
+            arrived_at <= bytes.sent_before + CLOCK_TOLERANCE,
+            "{:?} too late",
+            arrived_at - bytes.sent_before
+        );
         return;
     }
     panic!("no arrival time was reported");
@@ -178,14 +186,14 @@
 /// Guards against timestamps of a clock that differs from the program's: they would shorten the time that
 /// requests have left.
 #[tokio::test]
-async fn a_stamp_from_before_a_connection_can_have_come_is_not_believed() {
-    for _ in 0..STAMP_TRIES {
-        let bytes = waiting_bytes(true).await;
+async fn timestamp_before_the_connection_is_ignored() {
+    for _ in 0..TIMESTAMP_ATTEMPTS {
+        let bytes = connection_with_waiting_bytes(true).await;
         let impossible = ArrivalProbe::new(bytes.near.clone(), Instant::now());
-        assert_eq!(impossible.waiting_since(MAX_HEAD_BYTES), None);
+        assert_eq!(impossible.arrival_time(MAX_HEAD_BYTES), None);
         // The same timestamp is accepted where it is possible.
         let possible = ArrivalProbe::new(bytes.near.clone(), bytes.sent_after);
-        if possible.waiting_since(MAX_HEAD_BYTES).is_some() {
+        if possible.arrival_time(MAX_HEAD_BYTES).is_some() {
             return;
         }
     }
@@ -193,16 +201,16 @@
 }
 
 #[tokio::test]
-async fn bytes_without_a_stamp_count_from_their_read() {
-    let bytes = waiting_bytes(false).await;
+async fn bytes_without_timestamp_count_from_their_read() {
+    let bytes = connection_with_waiting_bytes(false).await;
     let probe = ArrivalProbe::new(bytes.near.clone(), bytes.sent_after);
-    assert_eq!(probe.waiting_since(MAX_HEAD_BYTES), None);
+    assert_eq!(probe.arrival_time(MAX_HEAD_BYTES), None);
 }
 
 /// Guards against a reader of the client's body that waits forever for its next frame to be taken after the
 /// request has ended.
 #[tokio::test]
-async fn nobody_takes_the_frames_of_an_upload_whose_request_is_over() {
+async fn dropped_upload_closes_its_frame_channel() {
     let (frames, upload) = StreamedUpload::new(None, Duration::ZERO);
     let status = upload.status().clone();
     frames.send(Some("first".into())).await.expect("channel capacity");
@@ -215,7 +223,7 @@
 
 /// Guards against a head that is copied together with the body before it when both arrive at once.
 #[tokio::test]
-async fn a_read_goes_no_further_than_the_body_before_a_head() {
+async fn read_stops_at_the_body_end_before_a_head() {
     const BODY: &[u8] = b"the rest of a body";
     const HEAD: &[u8] = b"GET /next HTTP/1.1\r\n\r\n";
     let (near, mut far) = duplex(1024);
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -122,13 +122,13 @@
                 self.held_for.set(connection.held_for());
                 return Ok((connection, response));
             }
-            let has_begun = connection.progress.has_begun();
-            if !has_begun && !(self.guard)() {
+            let is_request_started = connection.progress.is_request_started();
+            if !is_request_started && !(self.guard)() {
                 return Err(Outcome::NotSent);
             }
             // An idle connection turned out to be closed, or to have unread bytes that cannot be the
             // response. Nothing of the request was written, so it is sent over another connection.
-            if has_begun || !is_kept {
+            if is_request_started || !is_kept {
                 // The stream's progress shows whether the backend can have received the complete request.
                 let may_have_run = connection.progress.is_request_complete();
                 return Err(if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed });
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,7 +1,9 @@
 //! A connection to a backend.
 
 use super::repeat_filter::{FilteredStream, RepeatFilter, RepeatHistory, is_response_start};
-use crate::transport::{MAX_HEAD_BYTES, MAX_HEADERS, ObservedStream, RequestBody, StreamProgress, prepare};
+use crate::transport::{
+    MAX_HEAD_BYTES, MAX_HEADERS, ObservedStream, RequestBody, StreamProgress, configure_socket,
+};
 use bytes::Bytes;
 use foldhitch_balancer::api::Outcome;
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -48,7 +50,7 @@
         permit: OwnedSemaphorePermit,
         repeat_history: Rc<RepeatHistory>,
     ) -> Result<Self, Outcome> {
-        prepare(&stream).map_err(|_| Outcome::ConnectFailed)?;
+        configure_socket(&stream).map_err(|_| Outcome::ConnectFailed)?;
         let filter = Rc::new(RefCell::new(RepeatFilter::new(&repeat_history)));
         let stream = FilteredStream::new(stream, filter.clone(), repeat_history.clone());
         let stream = ObservedStream::new(stream);
