--- a/crates/proxy/src/dispatcher/endpoint_table.rs
+++ b/crates/proxy/src/dispatcher/endpoint_table.rs
@@ -67,7 +67,7 @@
         });
         if !is_current {
             self.withdraw(pool);
-            self.endpoint = Some(Rc::new(pool.endpoint(process.address, process.started_at_ms)));
+            self.endpoint = Some(Rc::new(pool.create_endpoint(process.address, process.started_at_ms)));
         }
     }
 
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -177,7 +177,7 @@
 async fn maintain(dispatcher: Rc<Dispatcher>, pool: Rc<ConnectionPool>) {
     loop {
         sleep(MAINTENANCE_INTERVAL).await;
-        pool.close_old_idle();
+        pool.close_expired_idle();
         dispatcher.forget_gone_endpoints();
     }
 }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -108,15 +108,15 @@
     /// Sends the request over an idle connection or a new one.
     async fn send(&self) -> Result<(Connection, Response<Incoming>), Outcome> {
         loop {
-            let kept = self.pool.take_idle(&self.endpoint);
-            let is_kept = kept.is_some();
-            let mut connection = match kept {
+            let idle = self.pool.take_idle(&self.endpoint);
+            let is_reused = idle.is_some();
+            let mut connection = match idle {
                 Some(connection) => connection,
                 None => self.pool.connect(&self.endpoint, &self.guard).await?,
             };
             connection.progress.guard_next_request(self.guard.clone());
             connection.expect_response_until(self.expires_at);
-            let message = self.request.message(&connection.progress, self.expires_at);
+            let message = self.request.build_message(&connection.progress, self.expires_at);
             let message = message.ok_or(Outcome::NotSent)?;
             if let Ok(response) = connection.sender.send_request(message).await {
                 self.held_for.set(connection.held_for());
@@ -128,7 +128,7 @@
             }
             // An idle connection turned out to be closed, or to have unread bytes that cannot be the
             // response. Nothing of the request was written, so it is sent over another connection.
-            if is_request_started || !is_kept {
+            if is_request_started || !is_reused {
                 // The stream's progress shows whether the backend can have received the complete request.
                 let may_have_run = connection.progress.is_request_complete();
                 return Err(if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed });
@@ -148,11 +148,11 @@
         let outcome = match read_response(response).await {
             None => return corrupt,
             Some(ResponseRead::Complete(outcome)) => outcome,
-            Some(ResponseRead::Partial(begun, body)) => return self.stream(connection, begun, body),
+            Some(ResponseRead::Partial(partial, body)) => return self.stream(connection, partial, body),
         };
         match connection.check_idle().await {
             IdleCheck::ResponseCorrupt => return corrupt,
-            IdleCheck::Finished => {}
+            IdleCheck::NotReusable => {}
             IdleCheck::Reusable => {
                 let is_error = !matches!(outcome, AttemptOutcome::Served(_));
                 connection.finish_response(is_error);
@@ -162,15 +162,15 @@
         outcome
     }
 
-    fn stream(&self, connection: Connection, begun: PartialResponse, body: Incoming) -> AttemptOutcome {
-        if !matches!(begun.outcome, AttemptOutcome::Served(_)) {
+    fn stream(&self, connection: Connection, partial: PartialResponse, body: Incoming) -> AttemptOutcome {
+        if !matches!(partial.outcome, AttemptOutcome::Served(_)) {
             // Only served responses are forwarded, so the rest of the body is not read.
-            return begun.outcome;
+            return partial.outcome;
         }
-        let (frames, streamed) = StreamedBody::new(begun.length);
+        let (frames, streamed) = StreamedBody::new(partial.length);
         let (pool, endpoint) = (self.pool.clone(), self.endpoint.clone());
         let stream = ResponseStream { body, frames, pool, endpoint, connection };
-        tokio::task::spawn_local(stream.run(begun));
+        tokio::task::spawn_local(stream.run(partial));
         AttemptOutcome::Served(BodyContent::Streamed(streamed))
     }
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -38,7 +38,7 @@
     /// The connection can carry another request.
     Reusable,
     /// The connection can't be used again.
-    Finished,
+    NotReusable,
     /// The response itself is corrupt.
     ResponseCorrupt,
 }
@@ -84,9 +84,9 @@
                     self.repeat_history.record_repeat(Instant::now());
                 }
                 let is_plausible = rest.is_empty() || is_repeat;
-                if is_plausible { IdleCheck::Finished } else { IdleCheck::ResponseCorrupt }
+                if is_plausible { IdleCheck::NotReusable } else { IdleCheck::ResponseCorrupt }
             }
-            Err(_) => IdleCheck::Finished,
+            Err(_) => IdleCheck::NotReusable,
         }
     }
 
--- a/crates/proxy/src/upstream/connection_pool.rs
+++ b/crates/proxy/src/upstream/connection_pool.rs
@@ -55,19 +55,19 @@
 /// The pool of connections to all backends.
 pub struct ConnectionPool {
     limits: Cell<PoolLimits>,
-    next_endpoint: Cell<u64>,
+    next_endpoint_number: Cell<u64>,
     /// Idle connections by the endpoint's number, least recently used first.
     idle: RefCell<HashMap<u64, Vec<IdleConnection>>>,
     permits: Arc<Semaphore>,
     /// The number of permits, both available and in use.
-    size: Cell<usize>,
+    permit_count: Cell<usize>,
     /// How often the tier's backends send equal responses to different requests.
     distinct_run: Rc<DistinctRun>,
 }
 
 struct IdleConnection {
     connection: Connection,
-    since: Instant,
+    idle_since: Instant,
 }
 
 impl ConnectionPool {
@@ -75,10 +75,10 @@
     pub fn new(limits: PoolLimits) -> Self {
         ConnectionPool {
             limits: Cell::new(limits),
-            next_endpoint: Cell::default(),
+            next_endpoint_number: Cell::default(),
             idle: RefCell::default(),
             permits: Arc::new(Semaphore::new(limits.connections)),
-            size: Cell::new(limits.connections),
+            permit_count: Cell::new(limits.connections),
             distinct_run: Rc::default(),
         }
     }
@@ -86,15 +86,15 @@
     /// Changes the maximum number of connections. Removes permits as far as they are available or held by
     /// idle connections. Returns whether the new size is reached; permits in use become available later.
     pub fn resize(&self, connections: usize) -> bool {
-        let size = self.size.get();
-        if connections >= size {
-            self.permits.add_permits(connections - size);
-            self.size.set(connections);
+        let permit_count = self.permit_count.get();
+        if connections >= permit_count {
+            self.permits.add_permits(connections - permit_count);
+            self.permit_count.set(connections);
             return true;
         }
-        let surplus = size - connections;
+        let surplus = permit_count - connections;
         let removed = self.permits.forget_permits(surplus);
-        self.size.set(size - removed);
+        self.permit_count.set(permit_count - removed);
         for _ in removed..surplus {
             // A permit becomes available a moment after its connection was closed.
             if !self.evict_oldest_idle() {
@@ -116,9 +116,9 @@
     }
 
     /// Creates an endpoint for a process of a backend.
-    pub fn endpoint(&self, address: SocketAddr, started_at_ms: f64) -> Endpoint {
-        let number = self.next_endpoint.get();
-        self.next_endpoint.set(number + 1);
+    pub fn create_endpoint(&self, address: SocketAddr, started_at_ms: f64) -> Endpoint {
+        let number = self.next_endpoint_number.get();
+        self.next_endpoint_number.set(number + 1);
         let draining_since = Cell::new(None);
         let repeat_history = Rc::new(RepeatHistory::new(address, self.distinct_run.clone()));
         Endpoint { number, address, started_at_ms, draining_since, repeat_history }
@@ -132,25 +132,28 @@
     /// Closes connections that have been idle for too long. Backends close idle connections too, and a
     /// request that crosses such a close would be reset, which leaves open whether it ran. The pool therefore
     /// closes them clearly earlier than the backends do.
-    pub fn close_old_idle(&self) {
-        let max_idle = self.max_idle();
+    pub fn close_expired_idle(&self) {
+        let max_idle_time = self.max_idle_time();
         self.idle.borrow_mut().retain(|_, connections| {
-            connections.retain(|idle| !idle.connection.sender.is_closed() && idle.since.elapsed() < max_idle);
+            connections.retain(|idle| {
+                !idle.connection.sender.is_closed() && idle.idle_since.elapsed() < max_idle_time
+            });
             !connections.is_empty()
         });
     }
 
-    fn max_idle(&self) -> Duration {
+    fn max_idle_time(&self) -> Duration {
         self.limits.get().idle_timeout.mul_f64(MAX_IDLE_FRACTION)
     }
 
     /// Takes the most recently used of the open idle connections, so that the others can expire.
     pub(super) fn take_idle(&self, endpoint: &Endpoint) -> Option<Connection> {
-        let max_idle = self.max_idle();
+        let max_idle_time = self.max_idle_time();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&endpoint.number)?;
         let now = Instant::now();
-        connections.retain(|idle| idle.connection.is_usable(now) && idle.since.elapsed() < max_idle);
+        connections
+            .retain(|idle| idle.connection.is_usable(now) && idle.idle_since.elapsed() < max_idle_time);
         let newest = connections.iter().rposition(|idle| !idle.connection.is_resting(now))?;
         Some(connections.remove(newest).connection)
     }
@@ -161,16 +164,17 @@
         if endpoint.is_draining() || !connection.is_usable(now) {
             return;
         }
-        let idle = IdleConnection { connection, since: now };
+        let idle = IdleConnection { connection, idle_since: now };
         self.idle.borrow_mut().entry(endpoint.number).or_default().push(idle);
     }
 
     /// Closes the connection that has been idle longest, of any backend.
     fn evict_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let first =
-            |(number, connections): (&u64, &Vec<IdleConnection>)| Some((connections.first()?.since, *number));
-        let oldest = idle.iter().filter_map(first).min();
+        let oldest_of_endpoint = |(number, connections): (&u64, &Vec<IdleConnection>)| {
+            Some((connections.first()?.idle_since, *number))
+        };
+        let oldest = idle.iter().filter_map(oldest_of_endpoint).min();
         let Some(connections) = oldest.and_then(|(_, number)| idle.get_mut(&number)) else { return false };
         connections.remove(0);
         true
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -36,7 +36,7 @@
 
     /// Builds the message of an attempt that expires at `expires_at`. Returns `None` if an earlier attempt
     /// has taken the body.
-    pub(super) fn message(
+    pub(super) fn build_message(
         &self,
         progress: &Rc<StreamProgress>,
         expires_at: Instant,
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -102,16 +102,16 @@
 
 impl ResponseStream {
     /// Streams the response. A response without a verified end is aborted.
-    pub(super) async fn run(mut self, begun: PartialResponse) {
-        if let Ok(IdleCheck::Reusable) = self.stream(begun).await {
+    pub(super) async fn run(mut self, partial: PartialResponse) {
+        if let Ok(IdleCheck::Reusable) = self.stream(partial).await {
             self.connection.finish_response(false);
             self.pool.keep_idle(&self.endpoint, self.connection);
         }
     }
 
-    async fn stream(&mut self, begun: PartialResponse) -> Result<IdleCheck, Aborted> {
-        let mut data = begun.data;
-        let mut remaining = begun.length;
+    async fn stream(&mut self, partial: PartialResponse) -> Result<IdleCheck, Aborted> {
+        let mut data = partial.data;
+        let mut remaining = partial.length;
         loop {
             remaining = remaining.map(|remaining| remaining.saturating_sub(data.len() as u64));
             if remaining == Some(0) {
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -15,7 +15,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::Instant;
 
-fn look() -> UpstreamRequest {
+fn get_request() -> UpstreamRequest {
     let (id, uri) = (HeaderValue::from_static("1"), Uri::from_static("/look"));
     UpstreamRequest {
         method: Method::GET,
@@ -30,7 +30,7 @@
 /// With a single permit: an idle connection is evicted for a new one, and an abandoned attempt releases its
 /// permit at once.
 #[tokio::test]
-async fn a_permit_for_a_connection_is_waited_for() {
+async fn connect_waits_for_a_permit() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
     let address = listener.local_addr().expect("bound socket");
     let (connect_timeout, idle_timeout) = (Duration::from_secs(20), Duration::from_secs(60));
@@ -40,10 +40,10 @@
     let tasks = LocalSet::new();
     tasks
         .run_until(async {
-            let endpoint = Rc::new(pool.endpoint(address, 0.0));
+            let endpoint = Rc::new(pool.create_endpoint(address, 0.0));
             let (cancel, cancelled) = oneshot::channel();
             let expires_at = Instant::now() + connect_timeout;
-            let (request, endpoint) = (Rc::new(look()), endpoint.clone());
+            let (request, endpoint) = (Rc::new(get_request()), endpoint.clone());
             let guard: SendGuard = Rc::new(|| true);
             let client = Rc::downgrade(&guard);
             let attempt = Attempt { request, endpoint: endpoint.clone(), expires_at, client, cancelled };
@@ -64,16 +64,16 @@
 /// scheduled since, and an attempt is about to write to an idle connection, or waits for a permit for a new
 /// one.
 #[tokio::test]
-async fn a_request_whose_client_has_just_disconnected_is_not_sent() {
+async fn request_of_a_disconnected_client_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("free port");
     let address = listener.local_addr().expect("bound socket");
     let clients = TcpListener::bind("127.0.0.1:0").await.expect("free port");
-    let at = clients.local_addr().expect("bound socket");
+    let client_address = clients.local_addr().expect("bound socket");
     let (connect_timeout, idle_timeout) = (Duration::from_secs(20), Duration::from_secs(60));
     let tasks = LocalSet::new();
     tasks
         .run_until(async {
-            for kept in [true, false] {
+            for is_idle in [true, false] {
                 let limits = PoolLimits {
                     connections: 1,
                     connect_timeout,
@@ -81,25 +81,25 @@
                     drain_deadline: connect_timeout,
                 };
                 let pool = Rc::new(ConnectionPool::new(limits));
-                let endpoint = Rc::new(pool.endpoint(address, 0.0));
+                let endpoint = Rc::new(pool.create_endpoint(address, 0.0));
                 let guard: SendGuard = Rc::new(|| true);
                 let connection = pool.connect(&endpoint, &guard).await.expect("connect");
                 let (mut backend, _) = listener.accept().await.expect("accept");
                 // In use by an attempt, or idle.
                 let mut held = Some(connection);
-                if kept {
+                if is_idle {
                     pool.keep_idle(&endpoint, held.take().expect("connection in use"));
                 }
-                let far = TcpStream::connect(at).await.expect("connect");
+                let far = TcpStream::connect(client_address).await.expect("connect");
                 let near = ClientSocket::new(clients.accept().await.expect("accept").0);
                 let liveness = near.liveness();
                 let is_connected: SendGuard = Rc::new(move || liveness.is_connected());
                 let (client, expires_at) = (Rc::downgrade(&is_connected), Instant::now() + connect_timeout);
                 let (_cancel, cancelled) = oneshot::channel();
-                let (request, endpoint) = (Rc::new(look()), endpoint.clone());
+                let (request, endpoint) = (Rc::new(get_request()), endpoint.clone());
                 let attempt = Attempt { request, endpoint: endpoint.clone(), expires_at, client, cancelled };
                 let ended = spawn_local(attempt.run(pool.clone()));
-                if !kept {
+                if !is_idle {
                     // The attempt waits for the permit.
                     tokio::task::yield_now().await;
                 }
@@ -108,13 +108,13 @@
                 assert_eq!(
                     ended.await.expect("no panic").outcome.outcome(),
                     Outcome::NotSent,
-                    "idle connection: {kept}"
+                    "idle connection: {is_idle}"
                 );
                 pool.close_idle(&endpoint);
                 assert_eq!(
                     backend.read(&mut [0; 1024]).await.expect("clean close"),
                     0,
-                    "idle connection: {kept}"
+                    "idle connection: {is_idle}"
                 );
             }
         })
