--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -111,8 +111,8 @@
     }
 
     /// Returns whether the connection must not be used yet.
-    pub(super) fn is_resting(&self, now: Instant) -> bool {
-        self.filter.borrow().is_resting(now)
+    pub(super) fn is_cooling_down(&self, now: Instant) -> bool {
+        self.filter.borrow().is_cooling_down(now)
     }
 }
 
--- a/crates/proxy/src/upstream/connection_pool.rs
+++ b/crates/proxy/src/upstream/connection_pool.rs
@@ -154,7 +154,7 @@
         let now = Instant::now();
         connections
             .retain(|idle| idle.connection.is_usable(now) && idle.idle_since.elapsed() < max_idle_time);
-        let newest = connections.iter().rposition(|idle| !idle.connection.is_resting(now))?;
+        let newest = connections.iter().rposition(|idle| !idle.connection.is_cooling_down(now))?;
         Some(connections.remove(newest).connection)
     }
 
--- a/crates/proxy/src/upstream/repeat_filter/distinct_run.rs
+++ b/crates/proxy/src/upstream/repeat_filter/distinct_run.rs
@@ -10,22 +10,22 @@
 #[derive(Default)]
 pub(in crate::upstream) struct DistinctRun {
     /// `None` until the first equal response.
-    since_equal: Cell<Option<u32>>,
+    distinct_since_equal: Cell<Option<u32>>,
 }
 
 impl DistinctRun {
     /// Records a response that differed from the earlier ones.
     pub(super) fn record_distinct(&self) {
-        self.since_equal.set(self.since_equal.get().map(|count| count.saturating_add(1)));
+        self.distinct_since_equal.set(self.distinct_since_equal.get().map(|count| count.saturating_add(1)));
     }
 
     /// Records that different requests received an equal response, as far as can be told.
     pub(super) fn record_equal(&self) {
-        self.since_equal.set(Some(0));
+        self.distinct_since_equal.set(Some(0));
     }
 
     /// Returns whether equal responses are so rare that holding them for long delays few clients.
-    pub(super) fn are_equals_rare(&self) -> bool {
-        self.since_equal.get().is_none_or(|count| count >= MIN_RUN_BETWEEN_EQUALS)
+    pub(super) fn are_equal_responses_rare(&self) -> bool {
+        self.distinct_since_equal.get().is_none_or(|count| count >= MIN_RUN_BETWEEN_EQUALS)
     }
 }
--- a/crates/proxy/src/upstream/repeat_filter/filtered_stream.rs
+++ b/crates/proxy/src/upstream/repeat_filter/filtered_stream.rs
@@ -1,6 +1,6 @@
 //! The stream of a connection to a backend, without copies of responses.
 
-use super::{RepeatFilter, RepeatHistory, Untrusted};
+use super::{AmbiguousResponse, RepeatFilter, RepeatHistory};
 use crate::transport::UnreadProbe;
 use bytes::Buf;
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
@@ -42,7 +42,7 @@
 
     fn receive(&self, bytes: &[u8]) -> io::Result<()> {
         let received = self.filter.borrow_mut().receive(bytes, &self.history, Instant::now());
-        received.map_err(|Untrusted| io::ErrorKind::InvalidData.into())
+        received.map_err(|AmbiguousResponse| io::ErrorKind::InvalidData.into())
     }
 
     /// Forwards held bytes once their hold ends. Pending until then, and as long as the hold has no end.
@@ -63,7 +63,7 @@
     }
 
     /// Copies bytes that can be forwarded into a buffer. Returns `false` if there are none.
-    fn give_ready(&self, buffer: &mut ReadBufCursor<'_>) -> bool {
+    fn fill_buffer(&self, buffer: &mut ReadBufCursor<'_>) -> bool {
         let ready = &mut self.filter.borrow_mut().ready;
         let length = ready.len().min(buffer.remaining());
         buffer.put_slice(&ready[..length]);
@@ -89,11 +89,11 @@
             return Pin::new(&mut self.stream).poll_read(context, buffer);
         }
         loop {
-            if self.give_ready(&mut buffer) {
+            if self.fill_buffer(&mut buffer) {
                 return Poll::Ready(Ok(()));
             }
-            let mut space = [0; READ_BYTES];
-            let mut read = ReadBuf::new(&mut space);
+            let mut storage = [0; READ_BYTES];
+            let mut read = ReadBuf::new(&mut storage);
             if Pin::new(&mut self.stream).poll_read(context, read.unfilled())?.is_pending() {
                 ready!(self.poll_release(context));
                 continue;
--- a/crates/proxy/src/upstream/repeat_filter/hold.rs
+++ b/crates/proxy/src/upstream/repeat_filter/hold.rs
@@ -14,49 +14,45 @@
 
 impl HoldTimes {
     /// Limits the hold to the usual time.
-    pub(super) fn without_longest(self) -> Self {
+    pub(super) fn limited_to_usual(self) -> Self {
         HoldTimes { longest: self.usual, ..self }
     }
 }
 
 /// What is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum HeldBytes {
+pub(super) enum HeldKind {
     /// The start of bytes that may be a copy.
-    Part,
+    Partial,
     /// A complete response that equals an earlier one.
-    Response,
+    Complete,
 }
 
 /// A response that is held, or that was forwarded before it was known to be no copy.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Hold {
     /// What is held.
-    pub(super) bytes: HeldBytes,
+    pub(super) kind: HeldKind,
     /// When the response arrived.
     pub(super) began_at: Instant,
     /// When the response is forwarded, so that its client receives it in time.
     pub(super) release_at: Instant,
     /// When the response is known to be no copy, if nothing has followed it.
-    pub(super) verdict_at: Instant,
+    pub(super) decided_at: Instant,
 }
 
 impl Hold {
     /// Holds a response for the longest time, or for half of the time until it expires if that is shorter,
     /// but at least for the usual time.
-    pub(super) fn begin(
-        bytes: HeldBytes,
-        now: Instant,
-        times: HoldTimes,
-        expires_at: Option<Instant>,
-    ) -> Self {
-        let half_of_rest = expires_at.map(|expires_at| expires_at.saturating_duration_since(now) / 2);
-        let release_after = half_of_rest.map_or(times.longest, |half| half.clamp(times.usual, times.longest));
-        Hold { bytes, began_at: now, release_at: now + release_after, verdict_at: now + times.longest }
+    pub(super) fn begin(kind: HeldKind, now: Instant, times: HoldTimes, expires_at: Option<Instant>) -> Self {
+        let half_of_remaining = expires_at.map(|expires_at| expires_at.saturating_duration_since(now) / 2);
+        let release_after =
+            half_of_remaining.map_or(times.longest, |half| half.clamp(times.usual, times.longest));
+        Hold { kind, began_at: now, release_at: now + release_after, decided_at: now + times.longest }
     }
 
     /// Returns whether the response after a copy would have arrived by now.
-    pub(super) fn is_verdict_due(&self, now: Instant) -> bool {
-        self.verdict_at <= now
+    pub(super) fn is_decided(&self, now: Instant) -> bool {
+        self.decided_at <= now
     }
 }
--- a/crates/proxy/src/upstream/repeat_filter/mod.rs
+++ b/crates/proxy/src/upstream/repeat_filter/mod.rs
@@ -28,10 +28,10 @@
 use crate::transport::MAX_HEAD_BYTES;
 use bytes::{Buf, BytesMut};
 use equal_contents::ConnectionNumber;
-use hold::{HeldBytes, Hold};
+use hold::{HeldKind, Hold};
 use remembered_responses::{Divergence, RememberedResponse, RememberedResponses};
 use response_bytes::{head_length, is_interim};
-use response_content::{PresentResponse, ResponseContent};
+use response_content::{CurrentResponse, ResponseContent};
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -52,7 +52,7 @@
     phase: Phase,
     remembered: RememberedResponses,
     /// The part of the current response that was forwarded.
-    present: PresentResponse,
+    current: CurrentResponse,
     /// Bytes that may be a copy.
     held: BytesMut,
     /// How long the bytes are held. Remains set after they were forwarded without knowing that they were no
@@ -68,15 +68,15 @@
     ready: BytesMut,
     /// Whether a copy may have been forwarded before the backend was known to repeat. Each later response may
     /// then belong to an earlier request.
-    may_be_out_of_step: bool,
+    may_be_desynchronized: bool,
     /// Whether a response was received of which nothing is remembered.
-    has_unknown_response: bool,
+    has_unremembered_response: bool,
 }
 
 /// The received bytes can't be attributed to the current request: either a copy is truncated, so the start of
 /// the next response is uncertain, or they may belong to an earlier request.
 #[derive(Debug)]
-pub(super) struct Untrusted;
+pub(super) struct AmbiguousResponse;
 
 impl RepeatFilter {
     /// Creates the filter of a new connection to the backend with this history.
@@ -85,15 +85,15 @@
             connection: history.connection_number(),
             phase: Phase::Idle,
             remembered: RememberedResponses::default(),
-            present: PresentResponse::new(),
+            current: CurrentResponse::new(),
             held: BytesMut::new(),
             hold: None,
             held_for: Duration::ZERO,
             request_began_at: None,
             response_expires_at: None,
             ready: BytesMut::new(),
-            may_be_out_of_step: false,
-            has_unknown_response: false,
+            may_be_desynchronized: false,
+            has_unremembered_response: false,
         }
     }
 
@@ -114,19 +114,19 @@
             return;
         }
         history.forget_old_delays(now);
-        if self.hold.take().is_some_and(|hold| hold.is_verdict_due(now)) {
+        if self.hold.take().is_some_and(|hold| hold.is_decided(now)) {
             // Nothing followed a response that was forwarded before it was known to be no copy.
             if let Some(last) = self.remembered.last() {
                 history.record_equal(&last.content);
             }
         }
         // A response to an earlier request would have arrived by now.
-        let is_copy_awaited = self.remembered.last().is_some_and(|last| last.is_awaited(history, now));
-        self.may_be_out_of_step &= is_copy_awaited;
+        let is_copy_possible = self.remembered.last().is_some_and(|last| last.is_copy_possible(history, now));
+        self.may_be_desynchronized &= is_copy_possible;
         self.phase = Phase::Awaiting;
         self.request_began_at = Some(now);
         self.held_for = Duration::ZERO;
-        self.present = PresentResponse::new();
+        self.current = CurrentResponse::new();
     }
 
     /// Restarts the hold when more of the current request is written: its response follows only its last
@@ -136,27 +136,32 @@
             return;
         }
         if let Some(hold) = self.hold.take() {
-            self.hold(hold.bytes, history, now);
+            self.hold(hold.kind, history, now);
         }
     }
 
     /// Processes bytes that were read.
-    fn receive(&mut self, bytes: &[u8], history: &RepeatHistory, now: Instant) -> Result<(), Untrusted> {
+    fn receive(
+        &mut self,
+        bytes: &[u8],
+        history: &RepeatHistory,
+        now: Instant,
+    ) -> Result<(), AmbiguousResponse> {
         if self.phase == Phase::Idle && is_response_start(bytes) {
             // This response belongs to no request.
             history.record_repeat(now);
         }
         if self.phase != Phase::Awaiting {
-            self.pass(bytes);
+            self.forward(bytes);
             self.phase = Phase::Receiving;
             return Ok(());
         }
         if self.held.is_empty() {
-            self.remembered.forget_rested(history, now);
+            self.remembered.forget_expired(history, now);
             self.record_response_time(history, now);
         }
         self.held.extend_from_slice(bytes);
-        self.compare(history, now)
+        self.filter_held(history, now)
     }
 
     fn record_response_time(&self, history: &RepeatHistory, now: Instant) {
@@ -166,21 +171,21 @@
     }
 
     /// Drops copies from the held bytes and forwards the rest.
-    fn compare(&mut self, history: &RepeatHistory, now: Instant) -> Result<(), Untrusted> {
+    fn filter_held(&mut self, history: &RepeatHistory, now: Instant) -> Result<(), AmbiguousResponse> {
         while !self.held.is_empty() {
-            if let Some(index) = self.remembered.position_at_start(&self.held) {
-                if self.take_equal(index, history, now) {
+            if let Some(index) = self.remembered.position_of_prefix(&self.held) {
+                if self.process_equal(index, history, now) {
                     continue;
                 }
                 return Ok(());
             }
             if self.remembered.any_may_start_with(&self.held) {
-                self.hold(HeldBytes::Part, history, now);
+                self.hold(HeldKind::Partial, history, now);
                 return Ok(());
             }
             if is_interim(&self.held) {
                 let Some(end) = head_length(&self.held) else {
-                    return if self.held.len() <= MAX_HEAD_BYTES { Ok(()) } else { Err(Untrusted) };
+                    return if self.held.len() <= MAX_HEAD_BYTES { Ok(()) } else { Err(AmbiguousResponse) };
                 };
                 let head = self.held.split_to(end);
                 self.ready.extend_from_slice(&head);
@@ -188,61 +193,61 @@
                 continue;
             }
             match self.remembered.divergence(&self.held) {
-                Divergence::BrokenCopy => return Err(Untrusted),
-                Divergence::Unknown => {
-                    self.hold(HeldBytes::Part, history, now);
+                Divergence::TruncatedCopy => return Err(AmbiguousResponse),
+                Divergence::Undecided => {
+                    self.hold(HeldKind::Partial, history, now);
                     return Ok(());
                 }
                 Divergence::OtherResponse => {}
             }
-            if history.repeats(now) && self.may_be_out_of_step {
-                return Err(Untrusted);
+            if history.repeats(now) && self.may_be_desynchronized {
+                return Err(AmbiguousResponse);
             }
             self.hold = None;
-            self.pass_response();
+            self.forward_response();
         }
         Ok(())
     }
 
     /// Processes held bytes that start with a remembered response: drops a copy, or forwards the response to
     /// the current request. Returns `false` if the two can't be told apart yet.
-    fn take_equal(&mut self, index: usize, history: &RepeatHistory, now: Instant) -> bool {
+    fn process_equal(&mut self, index: usize, history: &RepeatHistory, now: Instant) -> bool {
         let remembered = self.remembered.get(index);
         let is_followed = self.held.len() > remembered.content.length();
-        let is_awaited = remembered.is_awaited(history, now);
-        let is_known_equal = history.is_equal_known(&remembered.content);
-        let is_expected = history.repeats(now) && is_awaited;
+        let is_copy_possible = remembered.is_copy_possible(history, now);
+        let is_known_equal = history.is_known_equal(&remembered.content);
+        let is_expected = history.repeats(now) && is_copy_possible;
         let is_copy = is_followed || is_expected && !is_known_equal && !remembered.was_copied;
         let is_answer = is_known_equal && !is_expected;
         if is_copy {
             self.drop_copy(index, history, now);
         } else if is_answer {
             self.hold = None;
-            self.pass_response();
+            self.forward_response();
         } else {
-            self.hold(HeldBytes::Response, history, now);
+            self.hold(HeldKind::Complete, history, now);
         }
         is_copy || is_answer
     }
 
     /// Holds the received bytes until more arrive, for a limited time.
-    fn hold(&mut self, bytes: HeldBytes, history: &RepeatHistory, now: Instant) {
-        if self.hold.is_some_and(|hold| hold.bytes == bytes) {
+    fn hold(&mut self, kind: HeldKind, history: &RepeatHistory, now: Instant) {
+        if self.hold.is_some_and(|hold| hold.kind == kind) {
             return;
         }
-        let times = match bytes {
-            HeldBytes::Part => history.hold_times().without_longest(),
-            HeldBytes::Response => history.hold_times_of(&ResponseContent::of(&self.held)),
+        let times = match kind {
+            HeldKind::Partial => history.hold_times().limited_to_usual(),
+            HeldKind::Complete => history.hold_times_of(&ResponseContent::of(&self.held)),
         };
-        self.hold = Some(Hold::begin(bytes, now, times, self.response_expires_at));
+        self.hold = Some(Hold::begin(kind, now, times, self.response_expires_at));
     }
 
     fn drop_copy(&mut self, index: usize, history: &RepeatHistory, now: Instant) {
         let remembered = self.remembered.get_mut(index);
         let is_first = !history.repeats(now) && !remembered.was_copied;
         remembered.was_copied = true;
-        let came_at = self.hold.take().map_or(now, |hold| hold.began_at);
-        history.record_copy(now, came_at.duration_since(remembered.received_at));
+        let arrived_at = self.hold.take().map_or(now, |hold| hold.began_at);
+        history.record_copy(now, arrived_at.duration_since(remembered.received_at));
         self.held.advance(remembered.content.length());
         if !is_first {
             self.remembered.remove(index);
@@ -252,26 +257,26 @@
     /// Returns until when bytes are held, if the hold ends without further bytes.
     fn held_until(&self, history: &RepeatHistory, now: Instant) -> Option<Instant> {
         let hold = self.hold.filter(|_| !self.held.is_empty())?;
-        if self.is_awaited_copy(hold, history, now) { None } else { Some(hold.release_at) }
+        if self.is_expected_copy(hold, history, now) { None } else { Some(hold.release_at) }
     }
 
     /// Returns whether the held bytes are the start or all of a copy that is expected from a repeating
     /// backend.
-    fn is_awaited_copy(&self, hold: Hold, history: &RepeatHistory, now: Instant) -> bool {
-        let is_awaited = |copy: &RememberedResponse| {
+    fn is_expected_copy(&self, hold: Hold, history: &RepeatHistory, now: Instant) -> bool {
+        let is_copy_possible = |copy: &RememberedResponse| {
             copy.content.may_start_with(&self.held)
-                && copy.is_awaited(history, hold.began_at)
+                && copy.is_copy_possible(history, hold.began_at)
                 && !copy.was_copied
-                && !history.is_equal_known(&copy.content)
+                && !history.is_known_equal(&copy.content)
         };
-        history.repeats(now) && self.remembered.iter().any(is_awaited)
+        history.repeats(now) && self.remembered.iter().any(is_copy_possible)
     }
 
     /// Forwards bytes whose hold time is over. The connection remains under observation until they are known
     /// to be no copy.
     fn release_held(&mut self, history: &RepeatHistory, now: Instant) {
         let Some(hold) = self.hold.filter(|hold| hold.release_at <= now) else { return };
-        if self.held.is_empty() || self.is_awaited_copy(hold, history, now) {
+        if self.held.is_empty() || self.is_expected_copy(hold, history, now) {
             return;
         }
         // Only a complete response counts as held: the rest of a partial one is still to be sent by the
@@ -280,53 +285,58 @@
         if self.remembered.contains(&content) {
             self.held_for = now.duration_since(hold.began_at);
             history.record_released(&content);
-            if hold.is_verdict_due(now) {
+            if hold.is_decided(now) {
                 history.record_equal(&content);
                 self.hold = None;
             }
         }
-        self.pass_response();
+        self.forward_response();
     }
 
     /// Forwards the held bytes. They are no copy, and neither is the rest of their response.
-    fn pass_response(&mut self) {
+    fn forward_response(&mut self) {
         let held = self.held.split();
-        self.pass(&held);
+        self.forward(&held);
         self.phase = Phase::Receiving;
     }
 
-    fn pass(&mut self, bytes: &[u8]) {
+    fn forward(&mut self, bytes: &[u8]) {
         self.ready.extend_from_slice(bytes);
-        self.present.record(bytes);
+        self.current.record(bytes);
     }
 
     /// Returns whether the rest of the current response may bypass the filter.
     fn is_bypassed(&self) -> bool {
-        self.phase == Phase::Receiving && self.present.is_too_long() && self.ready.is_empty()
+        self.phase == Phase::Receiving && self.current.is_too_long_to_compare() && self.ready.is_empty()
     }
 
     /// Records that the current response was read completely on a connection that may be reused.
     pub(super) fn finish_response(&mut self, is_error: bool, history: &RepeatHistory, now: Instant) {
         self.phase = Phase::Idle;
-        let Some(content) = self.present.take_content() else {
-            self.has_unknown_response = true;
+        let Some(content) = self.current.take_content() else {
+            self.has_unremembered_response = true;
             self.hold = None;
             return;
         };
         let is_equal = self.remembered.contains(&content);
-        self.may_be_out_of_step |= is_equal;
+        self.may_be_desynchronized |= is_equal;
         if !is_equal {
             history.record_distinct(&content, self.connection);
             self.hold = None;
         }
-        let rests_until = self.rest_behind(&content, is_error, history, now);
+        let cooldown_ends_at = self.cooldown_after(&content, is_error, history, now);
         let was_copied = false;
-        self.remembered.remember(RememberedResponse { content, received_at: now, rests_until, was_copied });
+        self.remembered.remember(RememberedResponse {
+            content,
+            received_at: now,
+            cooldown_ends_at,
+            was_copied,
+        });
     }
 
     /// Returns until when the connection is not used after a response, because a copy of it could be taken
     /// for the next response.
-    fn rest_behind(
+    fn cooldown_after(
         &self,
         content: &ResponseContent,
         is_error: bool,
@@ -337,24 +347,24 @@
             if !is_error {
                 history.record_response(content);
             }
-            let is_next_maybe_equal = is_error || history.gives_equal_responses();
-            return is_next_maybe_equal.then(|| now + history.rest_time());
+            let may_next_be_equal = is_error || history.sends_equal_responses();
+            return may_next_be_equal.then(|| now + history.cooldown_time());
         }
-        let observed_until = self.hold.as_ref().map(|hold| hold.verdict_at);
-        let is_copy_awaited_until = is_error.then(|| now + history.copy_window());
-        observed_until.max(is_copy_awaited_until)
+        let observed_until = self.hold.as_ref().map(|hold| hold.decided_at);
+        let copy_expected_until = is_error.then(|| now + history.copy_window());
+        observed_until.max(copy_expected_until)
     }
 
     /// Returns whether the connection can carry no further request. A copy of a response that is not
     /// remembered at all could not be told from the next response. If the backend is known to repeat,
     /// responses have to be remembered in full.
     pub(super) fn is_unusable(&self, history: &RepeatHistory, now: Instant) -> bool {
-        let is_untrusted = self.present.is_long() || self.may_be_out_of_step;
-        self.has_unknown_response || history.repeats(now) && is_untrusted
+        let may_be_ambiguous = self.current.is_too_long_to_keep() || self.may_be_desynchronized;
+        self.has_unremembered_response || history.repeats(now) && may_be_ambiguous
     }
 
     /// Returns whether the connection must not be used yet.
-    pub(super) fn is_resting(&self, now: Instant) -> bool {
-        self.remembered.is_resting(now)
+    pub(super) fn is_cooling_down(&self, now: Instant) -> bool {
+        self.remembered.is_cooling_down(now)
     }
 }
--- a/crates/proxy/src/upstream/repeat_filter/remembered_responses.rs
+++ b/crates/proxy/src/upstream/repeat_filter/remembered_responses.rs
@@ -1,8 +1,8 @@
 //! The responses of a connection whose copies may still arrive.
 
 use super::repeat_history::RepeatHistory;
-use super::response_bytes::{common_prefix_length, contains_chunked, has_response_start_near, head_length};
-use super::response_content::{MAX_WHOLE_BYTES, ResponseContent};
+use super::response_bytes::{common_prefix_length, has_response_start_near, head_length, is_chunked};
+use super::response_content::{MAX_FULLY_KEPT_BYTES, ResponseContent};
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
@@ -10,7 +10,7 @@
 /// responses.
 pub(super) const MAX_REMEMBERED_RESPONSES: usize = 64;
 /// The maximum size of the remembered responses of a connection, in bytes.
-pub(super) const MAX_REMEMBERED_BYTES: usize = MAX_WHOLE_BYTES;
+pub(super) const MAX_REMEMBERED_BYTES: usize = MAX_FULLY_KEPT_BYTES;
 
 /// A response whose copy may still arrive.
 pub(super) struct RememberedResponse {
@@ -18,7 +18,7 @@
     pub(super) received_at: Instant,
     /// Until when the connection is not used, if the next response may legitimately equal this one. If the
     /// backend is known to repeat, the response is forgotten then.
-    pub(super) rests_until: Option<Instant>,
+    pub(super) cooldown_ends_at: Option<Instant>,
     /// Whether a copy was received by which the backend became known to repeat. Either another copy or an
     /// equal response may follow.
     pub(super) was_copied: bool,
@@ -26,16 +26,16 @@
 
 impl RememberedResponse {
     /// Returns whether a copy of the response may still arrive.
-    pub(super) fn is_awaited(&self, history: &RepeatHistory, now: Instant) -> bool {
-        match self.rests_until {
+    pub(super) fn is_copy_possible(&self, history: &RepeatHistory, now: Instant) -> bool {
+        match self.cooldown_ends_at {
             Some(until) if history.repeats(now) => now < until,
             _ => now.duration_since(self.received_at) <= history.copy_window(),
         }
     }
 
     /// Returns whether the connection's cooldown has lasted so long that no copy can arrive any more.
-    fn is_forgotten(&self, history: &RepeatHistory, now: Instant) -> bool {
-        history.repeats(now) && self.rests_until.is_some_and(|until| until <= now)
+    fn is_expired(&self, history: &RepeatHistory, now: Instant) -> bool {
+        history.repeats(now) && self.cooldown_ends_at.is_some_and(|until| until <= now)
     }
 }
 
@@ -45,9 +45,9 @@
     /// Another response.
     OtherResponse,
     /// Either another response or a truncated copy. More bytes are needed to decide.
-    Unknown,
+    Undecided,
     /// A truncated copy.
-    BrokenCopy,
+    TruncatedCopy,
 }
 
 /// The remembered responses of a connection.
@@ -73,8 +73,8 @@
     }
 
     /// Forgets responses of which no copy can arrive any more.
-    pub(super) fn forget_rested(&mut self, history: &RepeatHistory, now: Instant) {
-        self.responses.retain(|response| !response.is_forgotten(history, now));
+    pub(super) fn forget_expired(&mut self, history: &RepeatHistory, now: Instant) {
+        self.responses.retain(|response| !response.is_expired(history, now));
     }
 
     pub(super) fn last(&self) -> Option<&RememberedResponse> {
@@ -98,8 +98,8 @@
     }
 
     /// Returns the index of the response that the bytes start with.
-    pub(super) fn position_at_start(&self, bytes: &[u8]) -> Option<usize> {
-        self.responses.iter().position(|response| response.content.is_start_of(bytes))
+    pub(super) fn position_of_prefix(&self, bytes: &[u8]) -> Option<usize> {
+        self.responses.iter().position(|response| response.content.is_prefix_of(bytes))
     }
 
     /// Returns whether the bytes may be the start or all of a remembered response.
@@ -113,8 +113,8 @@
     }
 
     /// Returns whether the connection must not be used yet.
-    pub(super) fn is_resting(&self, now: Instant) -> bool {
-        self.responses.iter().any(|response| response.rests_until.is_some_and(|until| now < until))
+    pub(super) fn is_cooling_down(&self, now: Instant) -> bool {
+        self.responses.iter().any(|response| response.cooldown_ends_at.is_some_and(|until| now < until))
     }
 
     /// Classifies bytes that are not the start of any remembered response.
@@ -122,8 +122,8 @@
         let mut divergence = Divergence::OtherResponse;
         for response in &self.responses {
             match divergence_from(&response.content, bytes) {
-                Divergence::BrokenCopy => return Divergence::BrokenCopy,
-                Divergence::Unknown => divergence = Divergence::Unknown,
+                Divergence::TruncatedCopy => return Divergence::TruncatedCopy,
+                Divergence::Undecided => divergence = Divergence::Undecided,
                 Divergence::OtherResponse => {}
             }
         }
@@ -141,17 +141,17 @@
 }
 
 fn divergence_from(content: &ResponseContent, bytes: &[u8]) -> Divergence {
-    let Some(whole) = content.whole() else { return Divergence::OtherResponse };
-    let Some(head) = head_length(whole) else { return Divergence::OtherResponse };
-    let common = common_prefix_length(whole, bytes);
-    if common < whole.len() && has_response_start_near(bytes, common) {
-        return Divergence::BrokenCopy;
+    let Some(full_bytes) = content.full_bytes() else { return Divergence::OtherResponse };
+    let Some(head) = head_length(full_bytes) else { return Divergence::OtherResponse };
+    let common = common_prefix_length(full_bytes, bytes);
+    if common < full_bytes.len() && has_response_start_near(bytes, common) {
+        return Divergence::TruncatedCopy;
     }
     // Equal heads with a `Content-Length` mean equally long responses.
     let has_equal_head = common >= head;
-    let has_length = !contains_chunked(&whole[..head]);
-    if has_equal_head && has_length && bytes.len() < whole.len() {
-        return Divergence::Unknown;
+    let has_length = !is_chunked(&full_bytes[..head]);
+    if has_equal_head && has_length && bytes.len() < full_bytes.len() {
+        return Divergence::Undecided;
     }
     Divergence::OtherResponse
 }
--- a/crates/proxy/src/upstream/repeat_filter/repeat_history.rs
+++ b/crates/proxy/src/upstream/repeat_filter/repeat_history.rs
@@ -12,13 +12,13 @@
 use tokio::time::Instant;
 
 /// How long a backend is taken to repeat after its last copy.
-pub(super) const REPEATER_MEMORY: Duration = Duration::from_secs(60);
+pub(super) const REPEATER_RETENTION: Duration = Duration::from_secs(60);
 /// A copy may arrive up to this many times later than the latest copy that was seen.
 const COPY_DELAY_FACTOR: u32 = 8;
 /// The minimum time for which a copy of a response is expected. Either side may be delayed.
 const MIN_COPY_WINDOW: Duration = Duration::from_millis(250);
 /// The minimum cooldown of a connection. It is short because a replacement connection costs the backend work.
-const MIN_REST_TIME: Duration = Duration::from_millis(50);
+const MIN_COOLDOWN_TIME: Duration = Duration::from_millis(50);
 /// The maximum time for which a copy is expected. A later copy can't be told from a response.
 const MAX_COPY_WINDOW: Duration = Duration::from_secs(2);
 /// The response after a copy arrives within this many times the slowest recent response time of the backend.
@@ -41,46 +41,46 @@
     /// The address of the process, for the log.
     address: SocketAddr,
     last_repeat_at: Cell<Option<Instant>>,
-    longest_delay: Cell<Duration>,
+    max_copy_delay: Cell<Duration>,
     response_times: Cell<RecentMaximum>,
     equal_served: RefCell<EqualContents>,
     equal_errors: RefCell<EqualContents>,
     next_connection: Cell<u64>,
     last_response: Cell<Option<ContentHash>>,
-    gives_equal_responses: Cell<bool>,
+    sends_equal_responses: Cell<bool>,
     /// The number of served responses that differed from all earlier ones.
     distinct_count: Cell<u32>,
     /// The distinct responses of all backends of the tier.
-    tier_run: Rc<DistinctRun>,
+    tier_distinct_run: Rc<DistinctRun>,
 }
 
 impl RepeatHistory {
     /// Creates the history of a process that has sent nothing yet. The backends of its tier behave alike.
-    pub(in crate::upstream) fn new(address: SocketAddr, tier_run: Rc<DistinctRun>) -> Self {
+    pub(in crate::upstream) fn new(address: SocketAddr, tier_distinct_run: Rc<DistinctRun>) -> Self {
         RepeatHistory {
             address,
             last_repeat_at: Cell::default(),
-            longest_delay: Cell::default(),
+            max_copy_delay: Cell::default(),
             response_times: Cell::default(),
             equal_served: RefCell::default(),
             equal_errors: RefCell::default(),
             next_connection: Cell::default(),
             last_response: Cell::default(),
-            gives_equal_responses: Cell::default(),
+            sends_equal_responses: Cell::default(),
             distinct_count: Cell::default(),
-            tier_run,
+            tier_distinct_run,
         }
     }
 
     /// Returns whether the backend is known to repeat responses.
     pub(super) fn repeats(&self, now: Instant) -> bool {
-        self.last_repeat_at.get().is_some_and(|at| now.duration_since(at) < REPEATER_MEMORY)
+        self.last_repeat_at.get().is_some_and(|at| now.duration_since(at) < REPEATER_RETENTION)
     }
 
     /// Forgets the delay of copies once the backend no longer repeats.
     pub(super) fn forget_old_delays(&self, now: Instant) {
         if !self.repeats(now) {
-            self.longest_delay.set(Duration::ZERO);
+            self.max_copy_delay.set(Duration::ZERO);
         }
     }
 
@@ -95,29 +95,29 @@
     /// Records a copy that arrived `delay` after its response.
     pub(super) fn record_copy(&self, now: Instant, delay: Duration) {
         self.record_repeat(now);
-        self.longest_delay.set(self.longest_delay.get().max(delay));
+        self.max_copy_delay.set(self.max_copy_delay.get().max(delay));
     }
 
     /// Returns how long after a response its copy may arrive.
     pub(super) fn copy_window(&self) -> Duration {
-        (self.longest_delay.get() * COPY_DELAY_FACTOR).clamp(MIN_COPY_WINDOW, MAX_COPY_WINDOW)
+        (self.max_copy_delay.get() * COPY_DELAY_FACTOR).clamp(MIN_COPY_WINDOW, MAX_COPY_WINDOW)
     }
 
     /// Returns the cooldown of a connection after a response that the next response may legitimately equal.
-    pub(super) fn rest_time(&self) -> Duration {
-        (self.longest_delay.get() * COPY_DELAY_FACTOR).clamp(MIN_REST_TIME, MAX_COPY_WINDOW)
+    pub(super) fn cooldown_time(&self) -> Duration {
+        (self.max_copy_delay.get() * COPY_DELAY_FACTOR).clamp(MIN_COOLDOWN_TIME, MAX_COPY_WINDOW)
     }
 
     /// Records a response that was forwarded and was no copy.
     pub(super) fn record_response(&self, content: &ResponseContent) {
         if self.last_response.replace(Some(content.hash())) == Some(content.hash()) {
-            self.gives_equal_responses.set(true);
+            self.sends_equal_responses.set(true);
         }
     }
 
     /// Returns whether the backend has sent equal responses to different requests while it repeated.
-    pub(super) fn gives_equal_responses(&self) -> bool {
-        self.gives_equal_responses.get()
+    pub(super) fn sends_equal_responses(&self) -> bool {
+        self.sends_equal_responses.get()
     }
 
     /// Returns the number of a new connection.
@@ -135,16 +135,16 @@
             return;
         }
         self.distinct_count.set(self.distinct_count.get().saturating_add(1));
-        self.tier_run.record_distinct();
+        self.tier_distinct_run.record_distinct();
         if is_newly_equal {
-            self.tier_run.record_equal();
+            self.tier_distinct_run.record_equal();
         }
     }
 
     /// Records that an equal response was forwarded because nothing followed it during its hold.
     pub(super) fn record_released(&self, content: &ResponseContent) {
         if content.kind() == ResponseKind::Served {
-            self.tier_run.record_equal();
+            self.tier_distinct_run.record_equal();
         }
     }
 
@@ -155,7 +155,7 @@
 
     /// Returns whether different requests are known to have received this content, so that an equal response
     /// is no sign of a copy.
-    pub(super) fn is_equal_known(&self, content: &ResponseContent) -> bool {
+    pub(super) fn is_known_equal(&self, content: &ResponseContent) -> bool {
         self.equal_contents(content.kind()).borrow().contains(content.hash())
     }
 
@@ -183,18 +183,19 @@
     /// Returns how long a response of this content is held when it equals an earlier one.
     pub(super) fn hold_times_of(&self, content: &ResponseContent) -> HoldTimes {
         let times = self.hold_times();
-        if self.is_equal_known(content) {
-            return times.without_longest();
+        if self.is_known_equal(content) {
+            return times.limited_to_usual();
         }
-        if content.kind() == ResponseKind::Served && self.are_equals_rare() {
+        if content.kind() == ResponseKind::Served && self.are_equal_responses_rare() {
             return HoldTimes { longest: MAX_HOLD_TIME, ..times };
         }
         times
     }
 
     /// Returns whether an equal response is more likely a copy than not.
-    fn are_equals_rare(&self) -> bool {
-        self.distinct_count.get() >= MIN_DISTINCT_RESPONSES && self.tier_run.are_equals_rare()
+    fn are_equal_responses_rare(&self) -> bool {
+        self.distinct_count.get() >= MIN_DISTINCT_RESPONSES
+            && self.tier_distinct_run.are_equal_responses_rare()
     }
 }
 
@@ -203,7 +204,7 @@
 struct RecentMaximum {
     /// When the current period began.
     began_at: Option<Instant>,
-    present: Duration,
+    current: Duration,
     /// The maximum of the previous period.
     previous: Duration,
 }
@@ -213,12 +214,12 @@
         let is_over = |began_at: Instant| now.duration_since(began_at) >= RESPONSE_TIME_PERIOD;
         if self.began_at.is_none_or(is_over) {
             self.began_at = Some(now);
-            self.previous = std::mem::take(&mut self.present);
+            self.previous = std::mem::take(&mut self.current);
         }
-        self.present = self.present.max(time);
+        self.current = self.current.max(time);
     }
 
     fn value(&self) -> Duration {
-        self.present.max(self.previous)
+        self.current.max(self.previous)
     }
 }
--- a/crates/proxy/src/upstream/repeat_filter/response_bytes.rs
+++ b/crates/proxy/src/upstream/repeat_filter/response_bytes.rs
@@ -38,7 +38,7 @@
 }
 
 /// Returns whether a head contains the transfer coding `chunked`.
-pub(super) fn contains_chunked(head: &[u8]) -> bool {
+pub(super) fn is_chunked(head: &[u8]) -> bool {
     find(&head.to_ascii_lowercase(), b"chunked").is_some()
 }
 
--- a/crates/proxy/src/upstream/repeat_filter/response_content.rs
+++ b/crates/proxy/src/upstream/repeat_filter/response_content.rs
@@ -6,7 +6,7 @@
 use std::hash::{DefaultHasher, Hasher};
 
 /// The maximum size of a response that is kept in full, in bytes.
-pub(super) const MAX_WHOLE_BYTES: usize = 16 * 1024;
+pub(super) const MAX_FULLY_KEPT_BYTES: usize = 16 * 1024;
 /// How many bytes are kept of a longer response, together with a hash.
 const PREFIX_BYTES: usize = 512;
 /// The maximum size of a response that is compared, in bytes.
@@ -51,7 +51,7 @@
 impl ResponseContent {
     /// Creates the content of a complete response.
     pub(super) fn of(response: &[u8]) -> Self {
-        let prefix = &response[..response.len().min(MAX_WHOLE_BYTES)];
+        let prefix = &response[..response.len().min(MAX_FULLY_KEPT_BYTES)];
         ResponseContent { prefix: prefix.into(), length: response.len(), hash: ContentHash::of(response) }
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Returns all bytes of the response if they are kept.
-    pub(super) fn whole(&self) -> Option<&[u8]> {
+    pub(super) fn full_bytes(&self) -> Option<&[u8]> {
         if self.prefix.len() == self.length { Some(&self.prefix) } else { None }
     }
 
@@ -87,52 +87,52 @@
     }
 
     /// Returns whether the bytes start with the complete response.
-    pub(super) fn is_start_of(&self, bytes: &[u8]) -> bool {
+    pub(super) fn is_prefix_of(&self, bytes: &[u8]) -> bool {
         if bytes.len() < self.length || !bytes.starts_with(&self.prefix) {
             return false;
         }
-        self.whole().is_some() || ContentHash::of(&bytes[..self.length]) == self.hash
+        self.full_bytes().is_some() || ContentHash::of(&bytes[..self.length]) == self.hash
     }
 
     /// Returns whether the bytes may be the start of the response, or are all of it.
     pub(super) fn may_start_with(&self, bytes: &[u8]) -> bool {
         let compared = bytes.len().min(self.prefix.len());
         let is_alike = bytes.len() <= self.length && bytes[..compared] == self.prefix[..compared];
-        is_alike && (bytes.len() < self.length || self.is_start_of(bytes))
+        is_alike && (bytes.len() < self.length || self.is_prefix_of(bytes))
     }
 }
 
 /// The response that is being forwarded.
-pub(super) struct PresentResponse {
+pub(super) struct CurrentResponse {
     /// The first bytes of the response.
     prefix: Vec<u8>,
     length: usize,
     hasher: DefaultHasher,
 }
 
-impl PresentResponse {
+impl CurrentResponse {
     pub(super) fn new() -> Self {
-        PresentResponse { prefix: Vec::new(), length: 0, hasher: DefaultHasher::new() }
+        CurrentResponse { prefix: Vec::new(), length: 0, hasher: DefaultHasher::new() }
     }
 
     /// Records bytes that are forwarded.
     pub(super) fn record(&mut self, bytes: &[u8]) {
         self.length += bytes.len();
-        if self.is_too_long() {
+        if self.is_too_long_to_compare() {
             return;
         }
         self.hasher.write(bytes);
-        let missing = MAX_WHOLE_BYTES - self.prefix.len();
+        let missing = MAX_FULLY_KEPT_BYTES - self.prefix.len();
         self.prefix.extend_from_slice(&bytes[..bytes.len().min(missing)]);
     }
 
     /// Returns whether the response is too long to be kept in full.
-    pub(super) fn is_long(&self) -> bool {
-        self.length > MAX_WHOLE_BYTES
+    pub(super) fn is_too_long_to_keep(&self) -> bool {
+        self.length > MAX_FULLY_KEPT_BYTES
     }
 
     /// Returns whether the response is too long to be compared.
-    pub(super) fn is_too_long(&self) -> bool {
+    pub(super) fn is_too_long_to_compare(&self) -> bool {
         self.length > MAX_COMPARED_BYTES
     }
 
@@ -140,10 +140,10 @@
     /// response is too long.
     pub(super) fn take_content(&mut self) -> Option<ResponseContent> {
         let prefix = std::mem::take(&mut self.prefix);
-        if !self.is_long() {
+        if !self.is_too_long_to_keep() {
             return Some(ResponseContent::of(final_response(&prefix)));
         }
-        if self.is_too_long() || is_interim(&prefix) {
+        if self.is_too_long_to_compare() || is_interim(&prefix) {
             return None;
         }
         let hash = ContentHash(self.hasher.finish());
--- a/crates/proxy/src/upstream/repeat_filter/tests.rs
+++ b/crates/proxy/src/upstream/repeat_filter/tests.rs
@@ -29,7 +29,7 @@
 }
 
 impl Fixture {
-    fn unknown_backend() -> Self {
+    fn new_backend() -> Self {
         Fixture::of_tier(Rc::default())
     }
 
@@ -41,7 +41,7 @@
     }
 
     fn repeating_backend() -> Self {
-        let fixture = Fixture::unknown_backend();
+        let fixture = Fixture::new_backend();
         fixture.history.record_repeat(fixture.now);
         fixture
     }
@@ -51,14 +51,14 @@
     }
 
     /// Returns what is forwarded of the received bytes.
-    fn receive(&mut self, bytes: &[u8]) -> Result<Vec<u8>, Untrusted> {
+    fn receive(&mut self, bytes: &[u8]) -> Result<Vec<u8>, AmbiguousResponse> {
         self.now += Duration::from_millis(1);
         self.filter.receive(bytes, &self.history, self.now)?;
         Ok(self.filter.ready.split().to_vec())
     }
 
     /// Begins a request whose response expires after `time`.
-    fn begin_request_within(&mut self, time: Duration) {
+    fn begin_request_expiring_in(&mut self, time: Duration) {
         self.filter.expect_response_until(self.now + time);
         self.begin_request();
     }
@@ -69,7 +69,7 @@
     }
 
     /// Receives a response and expects that it is held.
-    fn receive_held(&mut self, response: &[u8]) {
+    fn expect_held(&mut self, response: &[u8]) {
         assert_eq!(self.receive(response).expect("held"), b"");
     }
 
@@ -82,12 +82,12 @@
 
     /// Creates a backend that has sent `count` distinct responses.
     fn with_distinct_responses(count: u32) -> Self {
-        let mut fixture = Fixture::unknown_backend();
-        fixture.give_distinct_responses(count);
+        let mut fixture = Fixture::new_backend();
+        fixture.send_distinct_responses(count);
         fixture
     }
 
-    fn give_distinct_responses(&mut self, count: u32) {
+    fn send_distinct_responses(&mut self, count: u32) {
         for _ in 0..count {
             self.response_count += 1;
             self.exchange(&response(200, &format!("distinct {}", self.response_count)), false);
@@ -95,7 +95,7 @@
     }
 
     /// Replaces the connection by another one to the same backend.
-    fn connect_again(&mut self) -> RepeatFilter {
+    fn reconnect(&mut self) -> RepeatFilter {
         std::mem::replace(&mut self.filter, RepeatFilter::new(&self.history))
     }
 
@@ -105,8 +105,8 @@
         !self.filter.is_unusable(&self.history, self.now)
     }
 
-    fn is_resting(&self) -> bool {
-        self.filter.is_resting(self.now)
+    fn is_cooling_down(&self) -> bool {
+        self.filter.is_cooling_down(self.now)
     }
 
     /// Runs a request whose response is forwarded unchanged. Returns whether the connection can be used
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_copy_before_the_response_proper_is_dropped() {
+fn copy_before_the_response_is_dropped() {
     let mut fixture = Fixture::repeating_backend();
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&first, false);
@@ -130,8 +130,8 @@
 
 /// A copy that arrives while no request is in flight shows that the backend repeats.
 #[test]
-fn a_copy_that_comes_while_nothing_is_open_tells_that_the_backend_repeats() {
-    let mut fixture = Fixture::unknown_backend();
+fn copy_without_a_request_shows_a_repeating_backend() {
+    let mut fixture = Fixture::new_backend();
     let first = response(200, "first");
     fixture.exchange(&first, false);
     assert!(!fixture.history.repeats(fixture.now));
@@ -142,43 +142,43 @@
 
 /// Guards against a delay of every response of a backend that sends equal responses but no copies.
 #[test]
-fn of_equal_responses_that_are_sent_once_only_the_first_is_held() {
-    let mut fixture = Fixture::unknown_backend();
+fn only_the_first_equal_response_is_held() {
+    let mut fixture = Fixture::new_backend();
     let equal = response(200, "equal");
     fixture.exchange(&equal, false);
     fixture.begin_request();
-    fixture.receive_held(&equal);
+    fixture.expect_held(&equal);
     assert_eq!(fixture.release(), equal);
     assert!(fixture.finish(false));
     for _ in 0..10 {
         assert!(fixture.exchange(&equal, false));
-        assert!(!fixture.is_resting());
+        assert!(!fixture.is_cooling_down());
     }
     assert!(!fixture.history.repeats(fixture.now));
 }
 
 #[test]
-fn an_equal_response_is_a_copy_if_something_comes_behind_it() {
+fn followed_equal_response_is_a_copy() {
     for behind in [response(200, "third"), response(503, ""), chunked_response("third")] {
-        let mut fixture = Fixture::unknown_backend();
+        let mut fixture = Fixture::new_backend();
         let first = response(200, "first");
         fixture.exchange(&first, false);
         fixture.begin_request();
-        fixture.receive_held(&first);
+        fixture.expect_held(&first);
         assert_eq!(fixture.receive(&behind).expect("response"), behind);
         assert!(fixture.history.repeats(fixture.now));
     }
 }
 
 #[test]
-fn a_copy_in_pieces_of_an_unknown_backend_is_dropped() {
+fn copy_in_pieces_of_a_new_backend_is_dropped() {
     for cut in 1..response(200, "first").len() {
-        let mut fixture = Fixture::unknown_backend();
+        let mut fixture = Fixture::new_backend();
         let (first, second) = (response(200, "first"), response(200, "other"));
         fixture.exchange(&first, false);
         fixture.begin_request();
-        fixture.receive_held(&first[..cut]);
-        fixture.receive_held(&first[cut..]);
+        fixture.expect_held(&first[..cut]);
+        fixture.expect_held(&first[cut..]);
         assert_eq!(fixture.receive(&second).expect("response"), second, "cut at {cut}");
     }
 }
@@ -186,7 +186,7 @@
 /// A backend that repeats sends equal responses to different requests: the first is dropped as a copy each
 /// time.
 #[test]
-fn of_equal_responses_that_are_sent_twice_the_second_is_the_answer() {
+fn second_of_repeated_equal_responses_is_forwarded() {
     let mut fixture = Fixture::repeating_backend();
     let equal = response(200, "equal");
     fixture.exchange(&equal, false);
@@ -199,25 +199,25 @@
 }
 
 #[test]
-fn a_response_is_held_for_no_more_than_half_of_what_is_left_to_its_client() {
-    let mut fixture = Fixture::unknown_backend();
+fn hold_is_at_most_half_of_the_remaining_time() {
+    let mut fixture = Fixture::new_backend();
     let first = response(200, "first");
     fixture.exchange(&first, false);
-    fixture.begin_request_within(Duration::from_millis(201));
-    fixture.receive_held(&first);
-    let came_at = fixture.now;
+    fixture.begin_request_expiring_in(Duration::from_millis(201));
+    fixture.expect_held(&first);
+    let arrived_at = fixture.now;
     assert_eq!(fixture.release(), first);
-    assert_eq!(fixture.now - came_at, Duration::from_millis(100));
+    assert_eq!(fixture.now - arrived_at, Duration::from_millis(100));
     assert_eq!(fixture.filter.held_for(), Duration::from_millis(100));
 }
 
 /// Creates a connection on which an equal response was forwarded before it was known to be no copy.
-fn passed_on_early() -> Fixture {
-    let mut fixture = Fixture::unknown_backend();
+fn forwarded_early() -> Fixture {
+    let mut fixture = Fixture::new_backend();
     let first = response(200, "first");
     fixture.exchange(&first, false);
-    fixture.begin_request_within(Duration::from_millis(201));
-    fixture.receive_held(&first);
+    fixture.begin_request_expiring_in(Duration::from_millis(201));
+    fixture.expect_held(&first);
     fixture.release();
     assert!(fixture.finish(false));
     fixture
@@ -226,9 +226,9 @@
 /// Guards against the reuse of a connection on which a copy was forwarded early: the real response follows
 /// and would be taken for the response to the next request.
 #[test]
-fn behind_a_response_that_was_passed_on_early_the_connection_is_observed() {
-    let mut fixture = passed_on_early();
-    assert!(fixture.is_resting());
+fn connection_is_observed_after_an_early_forward() {
+    let mut fixture = forwarded_early();
+    assert!(fixture.is_cooling_down());
     // The forwarded response was a copy, and the real response arrives now.
     fixture.receive(&response(200, "other")).expect("forwarded; the connection ends");
     assert!(fixture.history.repeats(fixture.now));
@@ -237,84 +237,84 @@
 /// If nothing follows during the observation, the backend sends equal responses, and these are no longer
 /// held.
 #[test]
-fn a_connection_that_was_observed_in_vain_tells_that_the_backend_gives_equal_responses() {
-    let mut fixture = passed_on_early();
+fn quiet_observation_makes_equal_responses_known() {
+    let mut fixture = forwarded_early();
     fixture.now += fixture.history.hold_times().longest;
-    assert!(!fixture.is_resting());
+    assert!(!fixture.is_cooling_down());
     fixture.exchange(&response(200, "first"), false);
     fixture.exchange(&response(200, "first"), false);
 }
 
 /// A copy arrives on the connection of its response.
 #[test]
-fn what_came_on_two_connections_is_no_copy() {
-    let mut fixture = Fixture::unknown_backend();
+fn equal_content_on_two_connections_is_no_copy() {
+    let mut fixture = Fixture::new_backend();
     let equal = response(200, "equal");
     fixture.exchange(&equal, false);
-    fixture.connect_again();
+    fixture.reconnect();
     fixture.exchange(&equal, false);
     fixture.exchange(&equal, false);
     // Other responses may still be copies.
     let other = response(200, "other");
     fixture.exchange(&other, false);
     fixture.begin_request();
-    fixture.receive_held(&other);
+    fixture.expect_held(&other);
 }
 
 /// Guards against a first copy that is forwarded as a response because many other contents are known to be
 /// equal.
 #[test]
-fn however_many_contents_are_given_to_different_requests_others_may_be_copies() {
-    let mut fixture = Fixture::unknown_backend();
+fn many_known_equal_contents_hide_no_other_copies() {
+    let mut fixture = Fixture::new_backend();
     for number in 0..1000 {
         fixture.history.record_equal(&ResponseContent::of(&response(200, &number.to_string())));
     }
     let first = response(200, "first");
     fixture.exchange(&first, false);
-    assert_is_no_answer(&mut fixture, &first);
+    assert_copy_is_dropped(&mut fixture, &first);
 }
 
 /// Guards against an early forward of a copy where half of the client's remaining time is shorter than the
 /// time in which the response after a copy usually arrives.
 #[test]
-fn a_response_is_not_passed_on_before_the_one_behind_a_copy_usually_comes() {
-    let mut fixture = Fixture::unknown_backend();
+fn hold_lasts_at_least_the_usual_time() {
+    let mut fixture = Fixture::new_backend();
     let first = response(200, "first");
     fixture.begin_request();
     fixture.now += Duration::from_millis(49);
     fixture.receive(&first).expect("response");
     fixture.finish(false);
-    fixture.begin_request_within(Duration::from_millis(300));
-    fixture.receive_held(&first);
-    let came_at = fixture.now;
+    fixture.begin_request_expiring_in(Duration::from_millis(300));
+    fixture.expect_held(&first);
+    let arrived_at = fixture.now;
     assert_eq!(fixture.release(), first);
-    assert_eq!(fixture.now - came_at, Duration::from_millis(400));
+    assert_eq!(fixture.now - arrived_at, Duration::from_millis(400));
 }
 
 #[test]
-fn the_beginning_of_a_response_is_held_no_longer_than_responses_usually_take() {
+fn partial_response_is_held_for_the_usual_time() {
     let first = response(200, "first");
     let other = response(200, "other");
     for beginning in [&first[..30], &other[..other.len() - 1]] {
-        let mut fixture = Fixture::unknown_backend();
+        let mut fixture = Fixture::new_backend();
         fixture.exchange(&first, false);
         fixture.begin_request();
-        fixture.receive_held(beginning);
-        let came_at = fixture.now;
+        fixture.expect_held(beginning);
+        let arrived_at = fixture.now;
         assert_eq!(fixture.release(), beginning);
-        assert_eq!(fixture.now - came_at, fixture.history.hold_times().usual);
+        assert_eq!(fixture.now - arrived_at, fixture.history.hold_times().usual);
     }
 }
 
 /// The backend becomes known to repeat while the response is held, so the hold has no end until more bytes
 /// arrive.
 #[test]
-fn what_is_held_once_its_backend_is_known_to_repeat_is_a_copy() {
-    let mut fixture = Fixture::unknown_backend();
+fn held_response_of_a_new_repeater_is_a_copy() {
+    let mut fixture = Fixture::new_backend();
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&first, false);
     fixture.begin_request();
-    fixture.receive_held(&first);
+    fixture.expect_held(&first);
     fixture.history.record_repeat(fixture.now);
     assert_eq!(fixture.filter.held_until(&fixture.history, fixture.now), None);
     fixture.now += fixture.hold_time();
@@ -323,8 +323,8 @@
 }
 
 #[test]
-fn a_response_is_held_for_longer_where_responses_are_slow() {
-    let mut fixture = Fixture::unknown_backend();
+fn hold_is_longer_for_slow_responses() {
+    let mut fixture = Fixture::new_backend();
     let usual = fixture.history.hold_times().usual;
     fixture.begin_request();
     fixture.now += usual;
@@ -333,25 +333,25 @@
 }
 
 #[test]
-fn a_copy_that_comes_late_is_no_answer() {
+fn late_copy_is_dropped() {
     let mut fixture = Fixture::repeating_backend();
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&first, false);
     fixture.now += 2 * fixture.history.copy_window();
     fixture.begin_request();
-    fixture.receive_held(&first);
+    fixture.expect_held(&first);
     assert_eq!(fixture.receive(&second).expect("response"), second);
 }
 
 /// Equal served responses tell nothing about errors.
 #[test]
-fn an_equal_error_is_held_although_equal_responses_are_known() {
-    let mut fixture = Fixture::unknown_backend();
+fn equal_error_is_held_despite_known_equal_responses() {
+    let mut fixture = Fixture::new_backend();
     fixture.history.record_equal(&ResponseContent::of(&response(200, "first")));
     let error = response(503, "");
     fixture.exchange(&error, true);
     fixture.begin_request();
-    fixture.receive_held(&error);
+    fixture.expect_held(&error);
     let second = response(200, "second");
     assert_eq!(fixture.receive(&second).expect("response"), second);
 }
@@ -359,8 +359,8 @@
 /// Guards against responses that reach the wrong client: an equal response was forwarded that turns out to
 /// have been a copy, so later responses on the connection belong to earlier requests.
 #[test]
-fn once_a_backend_repeats_a_connection_with_equal_responses_is_not_trusted() {
-    let mut fixture = Fixture::unknown_backend();
+fn equal_responses_before_a_first_copy_end_connection() {
+    let mut fixture = Fixture::new_backend();
     fixture.history.record_equal(&ResponseContent::of(&response(200, "first")));
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&first, false);
@@ -375,8 +375,8 @@
 
 /// No response to an earlier request can arrive on such a connection any more.
 #[test]
-fn a_connection_on_which_nothing_came_for_long_is_trusted_again() {
-    let mut fixture = Fixture::unknown_backend();
+fn quiet_connection_is_trusted_again() {
+    let mut fixture = Fixture::new_backend();
     fixture.history.record_equal(&ResponseContent::of(&response(503, "")));
     fixture.exchange(&response(503, ""), true);
     fixture.exchange(&response(503, ""), true);
@@ -387,56 +387,56 @@
 }
 
 #[test]
-fn behind_an_error_the_connection_rests_until_no_copy_of_it_can_come() {
+fn connection_cools_down_after_an_error() {
     let mut fixture = Fixture::repeating_backend();
     let error = response(503, "");
     fixture.exchange(&error, true);
-    assert!(fixture.is_resting());
-    fixture.now += fixture.history.rest_time();
-    assert!(!fixture.is_resting());
+    assert!(fixture.is_cooling_down());
+    fixture.now += fixture.history.cooldown_time();
+    assert!(!fixture.is_cooling_down());
     // The first error is forgotten by then, so an equal one is a response.
     fixture.exchange(&error, true);
 }
 
 /// A copy could otherwise be taken for an equal response to the next request.
 #[test]
-fn a_backend_that_gives_equal_responses_and_repeats_some_has_its_connections_rest() {
+fn repeater_with_equal_responses_causes_cooldown() {
     let mut fixture = Fixture::repeating_backend();
     let equal = response(200, "equal");
     fixture.exchange(&equal, false);
-    assert!(!fixture.is_resting());
+    assert!(!fixture.is_cooling_down());
     // Another connection to the same backend.
-    fixture.connect_again();
+    fixture.reconnect();
     fixture.exchange(&equal, false);
-    assert!(fixture.is_resting());
+    assert!(fixture.is_cooling_down());
 }
 
 /// Errors are usually equal, so they must not cause a cooldown after served responses.
 #[test]
-fn equal_errors_are_no_sign_of_equal_responses() {
+fn equal_errors_do_not_imply_equal_responses() {
     let mut fixture = Fixture::repeating_backend();
     for _ in 0..2 {
         fixture.exchange(&response(503, ""), true);
-        fixture.now += fixture.history.rest_time();
+        fixture.now += fixture.history.cooldown_time();
     }
     fixture.exchange(&response(200, "first"), false);
-    assert!(!fixture.is_resting());
+    assert!(!fixture.is_cooling_down());
 }
 
 #[test]
-fn a_copy_is_recognized_behind_an_interim_response() {
+fn copy_after_an_interim_response_is_dropped() {
     let mut fixture = Fixture::repeating_backend();
     let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&[interim.as_slice(), &first].concat(), false);
     fixture.begin_request();
     let received = [interim.as_slice(), &first, interim, &second].concat();
-    let passed = fixture.receive(&received).expect("response");
-    assert_eq!(passed, [interim.as_slice(), interim, &second].concat());
+    let forwarded = fixture.receive(&received).expect("response");
+    assert_eq!(forwarded, [interim.as_slice(), interim, &second].concat());
 }
 
 #[test]
-fn a_copy_that_broke_off_ends_the_connection() {
+fn truncated_copy_ends_the_connection() {
     for cut in 1..response(200, "first").len() {
         let mut fixture = Fixture::repeating_backend();
         let (first, second) = (response(200, "first"), response(200, "other"));
@@ -448,40 +448,40 @@
 }
 
 #[test]
-fn a_response_that_begins_like_a_copy_is_passed_on_unchanged() {
+fn response_that_starts_like_a_copy_is_unchanged() {
     for cut in 1..response(200, "first").len() {
         let mut fixture = Fixture::repeating_backend();
         let (first, second) = (response(200, "first"), response(200, "fired"));
         fixture.exchange(&first, false);
         fixture.begin_request();
-        let mut passed = fixture.receive(&second[..cut]).expect("not a copy");
-        passed.extend(fixture.receive(&second[cut..]).expect("not a copy"));
-        assert_eq!(passed, second, "cut at {cut}");
+        let mut forwarded = fixture.receive(&second[..cut]).expect("not a copy");
+        forwarded.extend(fixture.receive(&second[cut..]).expect("not a copy"));
+        assert_eq!(forwarded, second, "cut at {cut}");
     }
 }
 
 /// A response that is too long to be kept in full cannot be compared in full with its copy.
 #[test]
-fn behind_a_response_too_long_to_be_remembered_a_repeaters_connection_is_not_used_again() {
+fn repeater_connection_ends_after_a_long_response() {
     let long = response(200, &"x".repeat(MAX_REMEMBERED_BYTES));
     assert!(!Fixture::repeating_backend().exchange(&long, false));
-    assert!(Fixture::unknown_backend().exchange(&long, false));
+    assert!(Fixture::new_backend().exchange(&long, false));
 }
 
 /// A copy of a response that is too long to be compared could not be told from the next response.
 #[test]
-fn behind_a_response_of_which_nothing_is_remembered_no_connection_is_used_again() {
+fn connection_ends_after_an_unremembered_response() {
     let longest =
         "x".repeat(MAX_COMPARED_BYTES - response(200, "").len() - MAX_COMPARED_BYTES.to_string().len());
-    assert!(Fixture::unknown_backend().exchange(&response(200, &longest), false));
+    assert!(Fixture::new_backend().exchange(&response(200, &longest), false));
     let too_long = "x".repeat(MAX_COMPARED_BYTES);
-    let mut fixture = Fixture::unknown_backend();
+    let mut fixture = Fixture::new_backend();
     assert!(!fixture.exchange(&response(200, &too_long), false));
     assert!(!fixture.exchange(&response(200, "short"), false));
 }
 
 #[test]
-fn what_is_remembered_is_bounded() {
+fn remembered_responses_are_bounded() {
     let mut fixture = Fixture::repeating_backend();
     for number in 0..100 {
         fixture.exchange(&response(200, &format!("{number:03}{}", "x".repeat(3000))), false);
@@ -491,31 +491,31 @@
 }
 
 #[test]
-fn an_interim_response_without_an_end_is_not_held_for_ever() {
+fn endless_interim_response_is_rejected() {
     let mut fixture = Fixture::repeating_backend();
     fixture.begin_request();
     assert!(fixture.receive(b"HTTP/1.1 100 Continue\r\nX: ").is_ok());
-    let is_untrusted = (0..100).any(|_| fixture.receive(&[b'x'; 1024]).is_err());
-    assert!(is_untrusted, "{} bytes are held", fixture.filter.held.len());
+    let is_rejected = (0..100).any(|_| fixture.receive(&[b'x'; 1024]).is_err());
+    assert!(is_rejected, "{} bytes are held", fixture.filter.held.len());
 }
 
 /// The backend ceases to be known to repeat while part of a response is held.
 #[test]
-fn what_is_held_when_the_backend_is_no_longer_filtered_is_passed_on_in_order() {
+fn held_bytes_keep_their_order_after_repeating_ends() {
     let mut fixture = Fixture::repeating_backend();
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&first, false);
     fixture.begin_request();
     assert_eq!(fixture.receive(&second[..10]).expect("held"), b"");
-    fixture.now += repeat_history::REPEATER_MEMORY;
+    fixture.now += repeat_history::REPEATER_RETENTION;
     assert_eq!(fixture.receive(&second[10..]).expect("not a copy"), second);
 }
 
 #[test]
-fn a_backend_without_a_copy_for_long_is_no_longer_filtered() {
+fn repeating_expires_without_copies() {
     let mut fixture = Fixture::repeating_backend();
     assert!(fixture.history.repeats(fixture.now));
-    fixture.now += repeat_history::REPEATER_MEMORY;
+    fixture.now += repeat_history::REPEATER_RETENTION;
     assert!(!fixture.history.repeats(fixture.now));
 }
 
@@ -556,26 +556,26 @@
 
     /// Sends bytes in random pieces and returns what is forwarded.
     fn send(&mut self, mut bytes: &[u8]) -> Vec<u8> {
-        let mut passed = Vec::new();
+        let mut forwarded = Vec::new();
         while !bytes.is_empty() {
             let (piece, rest) = bytes.split_at(self.random.usize(1..=bytes.len()));
-            passed.extend(self.fixture.receive(piece).expect("no truncated copy"));
+            forwarded.extend(self.fixture.receive(piece).expect("no truncated copy"));
             bytes = rest;
         }
-        passed
+        forwarded
     }
 
     /// Waits for the end of the connection's cooldown, as the pool does.
-    fn wait_until_rested(&mut self) {
-        if self.fixture.is_resting() {
-            self.fixture.now += self.fixture.history.rest_time();
+    fn wait_for_cooldown(&mut self) {
+        if self.fixture.is_cooling_down() {
+            self.fixture.now += self.fixture.history.cooldown_time();
             self.copies.clear();
         }
     }
 
     /// Runs one request. Returns `false` if the connection can't be used again.
     fn exchange(&mut self) -> bool {
-        self.wait_until_rested();
+        self.wait_for_cooldown();
         self.fixture.begin_request();
         let (response, is_error) = self.response();
         let mut received = self.take_copies();
@@ -590,9 +590,9 @@
 }
 
 #[test]
-fn whatever_the_cuts_and_the_order_each_request_gets_its_own_response() {
+fn each_request_gets_its_response_for_random_cuts() {
     for seed in 0..2000 {
-        let fixture = if seed % 2 == 0 { Fixture::repeating_backend() } else { Fixture::unknown_backend() };
+        let fixture = if seed % 2 == 0 { Fixture::repeating_backend() } else { Fixture::new_backend() };
         let mut backend = RandomBackend::new(seed, fixture);
         for _ in 0..30 {
             if !backend.exchange() {
@@ -607,43 +607,43 @@
 
 /// Receives a possible copy of a response and then a response that differs from all others. Returns what is
 /// forwarded of both.
-fn passed_of_copy_and_response(fixture: &mut Fixture, copy: &[u8]) -> String {
+fn forwarded_of_copy_and_response(fixture: &mut Fixture, copy: &[u8]) -> String {
     fixture.begin_request();
-    let mut passed = fixture.receive(copy).expect("held or dropped");
-    passed.extend(fixture.receive(&response(200, "unlike")).expect("response"));
-    String::from_utf8(passed).expect("UTF-8")
+    let mut forwarded = fixture.receive(copy).expect("held or dropped");
+    forwarded.extend(fixture.receive(&response(200, "unlike")).expect("response"));
+    String::from_utf8(forwarded).expect("UTF-8")
 }
 
-fn assert_is_no_answer(fixture: &mut Fixture, copy: &[u8]) {
-    let passed = passed_of_copy_and_response(fixture, copy);
+fn assert_copy_is_dropped(fixture: &mut Fixture, copy: &[u8]) {
+    let forwarded = forwarded_of_copy_and_response(fixture, copy);
     let expected = String::from_utf8(response(200, "unlike")).expect("UTF-8");
-    assert!(passed == expected, "{} bytes were forwarded instead of {}", passed.len(), expected.len());
+    assert!(forwarded == expected, "{} bytes were forwarded instead of {}", forwarded.len(), expected.len());
 }
 
 /// Guards against a first copy that is forwarded because the response is too long to be kept in full.
 #[test]
-fn the_first_copy_of_a_response_too_long_to_be_remembered_is_no_answer() {
-    let mut fixture = Fixture::unknown_backend();
+fn first_copy_of_a_long_response_is_dropped() {
+    let mut fixture = Fixture::new_backend();
     let long = response(200, &"x".repeat(MAX_REMEMBERED_BYTES));
-    if fixture.exchange(&long, false) && !fixture.is_resting() {
-        assert_is_no_answer(&mut fixture, &long);
+    if fixture.exchange(&long, false) && !fixture.is_cooling_down() {
+        assert_copy_is_dropped(&mut fixture, &long);
     }
 }
 
 /// Guards against a first copy that is forwarded because a later long response has displaced its response.
 #[test]
-fn the_first_copy_of_the_response_before_the_last_is_no_answer_where_both_are_long() {
-    let mut fixture = Fixture::unknown_backend();
+fn first_copy_before_another_long_response_is_dropped() {
+    let mut fixture = Fixture::new_backend();
     let long = |letter: &str| response(200, &letter.repeat(MAX_REMEMBERED_BYTES * 2 / 3));
     fixture.exchange(&long("a"), false);
     fixture.exchange(&long("b"), false);
-    assert_is_no_answer(&mut fixture, &long("a"));
+    assert_copy_is_dropped(&mut fixture, &long("a"));
 }
 
 /// Guards against a first copy that is forwarded because many fast responses have displaced its response.
 #[test]
-fn the_first_copy_behind_many_fast_responses_is_no_answer() {
-    let mut fixture = Fixture::unknown_backend();
+fn first_copy_after_many_fast_responses_is_dropped() {
+    let mut fixture = Fixture::new_backend();
     let first = response(200, "first");
     fixture.exchange(&first, false);
     let expected_until = fixture.now + fixture.history.copy_window();
@@ -654,165 +654,165 @@
             break;
         }
     }
-    assert_is_no_answer(&mut fixture, &first);
+    assert_copy_is_dropped(&mut fixture, &first);
 }
 
 /// Sends each error on two connections, which shows that they are not copies.
-fn give_equal_errors(fixture: &mut Fixture, errors: &[Vec<u8>]) {
+fn send_equal_errors(fixture: &mut Fixture, errors: &[Vec<u8>]) {
     for _ in 0..2 {
         for error in errors {
             fixture.exchange(error, true);
-            fixture.now += fixture.history.rest_time();
+            fixture.now += fixture.history.cooldown_time();
         }
-        fixture.connect_again();
+        fixture.reconnect();
     }
 }
 
 /// Guards against a first copy that is forwarded because errors of the same backend are known to be equal.
 #[test]
-fn however_many_errors_are_equal_the_first_copy_of_a_served_response_is_no_answer() {
-    let mut fixture = Fixture::unknown_backend();
+fn equal_errors_hide_no_first_copy_of_a_served_response() {
+    let mut fixture = Fixture::new_backend();
     let errors = ["full", "draining", "connections", "over"].map(|reason| response(503, reason));
-    give_equal_errors(&mut fixture, &errors);
+    send_equal_errors(&mut fixture, &errors);
     let first = response(200, "first");
     fixture.exchange(&first, false);
-    assert_is_no_answer(&mut fixture, &first);
+    assert_copy_is_dropped(&mut fixture, &first);
 }
 
 /// The same for a backend that is known to repeat.
 #[test]
-fn however_many_errors_are_equal_the_copy_of_a_served_response_of_a_repeater_is_dropped() {
-    let mut fixture = Fixture::unknown_backend();
+fn equal_errors_hide_no_copy_of_a_repeater() {
+    let mut fixture = Fixture::new_backend();
     let errors = ["full", "draining", "connections", "over"].map(|reason| response(503, reason));
-    give_equal_errors(&mut fixture, &errors);
+    send_equal_errors(&mut fixture, &errors);
     fixture.history.record_repeat(fixture.now);
     let first = response(200, "first");
     fixture.exchange(&first, false);
     fixture.begin_request();
-    fixture.receive_held(&first);
+    fixture.expect_held(&first);
     assert_eq!(fixture.filter.held_until(&fixture.history, fixture.now), None, "the copy would be forwarded");
 }
 
 /// Guards against a copy of an error that is forwarded as the response to the next request because different
 /// requests are known to have received this error.
 #[test]
-fn the_first_copy_of_an_error_that_different_requests_got_is_no_word_on_the_next_request() {
-    let mut fixture = Fixture::unknown_backend();
+fn first_copy_of_a_known_error_is_not_forwarded() {
+    let mut fixture = Fixture::new_backend();
     let error = response(503, "");
-    give_equal_errors(&mut fixture, std::slice::from_ref(&error));
+    send_equal_errors(&mut fixture, std::slice::from_ref(&error));
     fixture.exchange(&error, true);
     fixture.now += COPY_DELAY;
     // During its cooldown the connection receives no request that the copy could answer.
-    if !fixture.is_resting() {
-        assert_is_no_answer(&mut fixture, &error);
+    if !fixture.is_cooling_down() {
+        assert_copy_is_dropped(&mut fixture, &error);
     }
 }
 
 /// Guards against responses that reach the wrong client: if the copy of a known error is forwarded, the real
 /// response follows and would be taken for the response to the next request.
 #[test]
-fn behind_the_first_copy_of_a_known_error_the_response_proper_is_no_other_requests_answer() {
-    let mut fixture = Fixture::unknown_backend();
+fn first_copy_of_a_known_error_shifts_no_response() {
+    let mut fixture = Fixture::new_backend();
     let error = response(503, "");
-    give_equal_errors(&mut fixture, std::slice::from_ref(&error));
+    send_equal_errors(&mut fixture, std::slice::from_ref(&error));
     fixture.exchange(&error, true);
     fixture.now += COPY_DELAY;
-    if fixture.is_resting() {
+    if fixture.is_cooling_down() {
         return;
     }
     fixture.begin_request();
-    let is_taken = !fixture.receive(&error).expect("held or forwarded").is_empty();
-    let is_used_again = is_taken && fixture.finish(true);
+    let is_forwarded = !fixture.receive(&error).expect("held or forwarded").is_empty();
+    let is_used_again = is_forwarded && fixture.finish(true);
     fixture.now += COPY_DELAY;
-    if is_used_again && !fixture.is_resting() {
+    if is_used_again && !fixture.is_cooling_down() {
         fixture.begin_request();
-        let passed = fixture.receive(&response(200, "of the previous request")).unwrap_or_default();
-        assert!(passed.is_empty(), "a client receives the response to another request");
+        let forwarded = fixture.receive(&response(200, "of the previous request")).unwrap_or_default();
+        assert!(forwarded.is_empty(), "a client receives the response to another request");
     }
 }
 
 /// Guards against a hold that remains set after the response arrived in pieces.
 #[test]
-fn a_connection_does_not_rest_behind_an_equal_response_in_pieces_of_known_content() {
+fn known_equal_response_in_pieces_needs_no_cooldown() {
     let equal = response(200, "equal");
     for cut in 1..equal.len() {
-        let mut fixture = Fixture::unknown_backend();
+        let mut fixture = Fixture::new_backend();
         fixture.history.record_equal(&ResponseContent::of(&equal));
         fixture.exchange(&equal, false);
         fixture.begin_request();
-        fixture.receive_held(&equal[..cut]);
+        fixture.expect_held(&equal[..cut]);
         assert_eq!(fixture.receive(&equal[cut..]).expect("response"), equal);
         assert!(fixture.finish(false));
-        assert!(!fixture.is_resting(), "cut at {cut}");
+        assert!(!fixture.is_cooling_down(), "cut at {cut}");
     }
 }
 
 /// Guards against slow backends that look fast: the time until the rest of a response arrives is the time of
 /// the backend and not of the filter.
 #[test]
-fn the_time_in_which_the_rest_of_a_response_does_not_come_is_its_backends() {
-    let mut fixture = Fixture::unknown_backend();
+fn partial_response_does_not_count_as_held() {
+    let mut fixture = Fixture::new_backend();
     let (first, second) = (response(200, "first"), response(200, "other"));
     fixture.exchange(&first, false);
     fixture.begin_request();
     let cut = head_length(&second).expect("complete head");
-    fixture.receive_held(&second[..cut]);
+    fixture.expect_held(&second[..cut]);
     assert_eq!(fixture.release(), second[..cut]);
     assert_eq!(fixture.receive(&second[cut..]).expect("rest of the response"), second[cut..]);
     assert_eq!(fixture.filter.held_for(), Duration::ZERO);
 }
 
 #[test]
-fn the_first_copy_that_broke_off_ends_the_connection() {
+fn truncated_first_copy_ends_the_connection() {
     for cut in 1..response(200, "first").len() {
-        let mut fixture = Fixture::unknown_backend();
+        let mut fixture = Fixture::new_backend();
         let (first, second) = (response(200, "first"), response(200, "other"));
         fixture.exchange(&first, false);
         fixture.begin_request();
-        fixture.receive_held(&first[..cut]);
+        fixture.expect_held(&first[..cut]);
         assert!(fixture.receive(&second).is_err(), "cut at {cut}");
     }
 }
 
 /// Two copies of the same response arrive before the next response.
 #[test]
-fn a_second_copy_of_an_unlike_response_is_no_answer() {
-    let mut fixture = Fixture::unknown_backend();
+fn second_copy_of_a_distinct_response_is_dropped() {
+    let mut fixture = Fixture::new_backend();
     let first = response(200, "first");
     fixture.exchange(&first, false);
-    assert_is_no_answer(&mut fixture, &[first.as_slice(), &first].concat());
+    assert_copy_is_dropped(&mut fixture, &[first.as_slice(), &first].concat());
 }
 
 /// The delay of its earlier copies must be forgotten.
 #[test]
-fn a_backend_that_no_longer_repeats_has_its_connections_rest_no_longer_than_others() {
-    let mut fixture = Fixture::unknown_backend();
+fn former_repeater_has_the_usual_cooldown() {
+    let mut fixture = Fixture::new_backend();
     let usual = fixture.history.copy_window();
     fixture.history.record_copy(fixture.now, Duration::from_millis(250));
-    fixture.now += repeat_history::REPEATER_MEMORY;
+    fixture.now += repeat_history::REPEATER_RETENTION;
     fixture.exchange(&response(503, ""), true);
     fixture.now += usual;
-    assert!(!fixture.is_resting());
+    assert!(!fixture.is_cooling_down());
 }
 
 /// Guards against a hold that counts from the start of an interim response in pieces instead of the start of
 /// the response.
 #[test]
-fn a_response_behind_an_interim_one_in_pieces_is_held_as_long_as_others() {
+fn split_interim_response_does_not_shorten_the_hold() {
     let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
     for cut in 1..interim.len() {
-        let mut fixture = Fixture::unknown_backend();
+        let mut fixture = Fixture::new_backend();
         let first = response(200, "first");
         fixture.exchange(&first, false);
         fixture.begin_request();
-        let mut passed = fixture.receive(&interim[..cut]).expect("held");
-        passed.extend(fixture.receive(&interim[cut..]).expect("interim response"));
-        assert_eq!(passed, interim);
+        let mut forwarded = fixture.receive(&interim[..cut]).expect("held");
+        forwarded.extend(fixture.receive(&interim[cut..]).expect("interim response"));
+        assert_eq!(forwarded, interim);
         fixture.now += fixture.hold_time();
-        fixture.receive_held(&first);
-        let came_at = fixture.now;
+        fixture.expect_held(&first);
+        let arrived_at = fixture.now;
         assert_eq!(fixture.release(), first);
-        assert_eq!(fixture.now - came_at, fixture.hold_time(), "cut at {cut}");
+        assert_eq!(fixture.now - arrived_at, fixture.hold_time(), "cut at {cut}");
     }
 }
 
@@ -824,23 +824,23 @@
     let equal = response(200, body);
     fixture.exchange(&equal, false);
     fixture.begin_request();
-    fixture.receive_held(&equal);
-    let came_at = fixture.now;
+    fixture.expect_held(&equal);
+    let arrived_at = fixture.now;
     assert_eq!(fixture.release(), equal);
     fixture.finish(false);
-    fixture.now - came_at
+    fixture.now - arrived_at
 }
 
 /// Such a response is more likely a copy than not.
 #[test]
-fn an_equal_response_among_many_distinct_ones_is_held_as_long_as_a_response_may_take() {
+fn rare_equal_response_is_held_for_the_maximum_time() {
     let mut fixture = Fixture::with_distinct_responses(MANY_RESPONSES);
     assert_eq!(hold_time_of_equal(&mut fixture, "equal"), repeat_history::MAX_HOLD_TIME);
 }
 
 /// After few responses it is not known that equal ones are rare.
 #[test]
-fn where_few_responses_came_an_equal_one_is_held_no_longer_than_usual() {
+fn equal_response_after_few_others_is_held_as_usual() {
     let mut fixture = Fixture::with_distinct_responses(1);
     let usual = fixture.hold_time();
     assert_eq!(hold_time_of_equal(&mut fixture, "equal"), usual);
@@ -848,28 +848,28 @@
 
 /// Errors are usually equal, so an equal one is no sign of a copy.
 #[test]
-fn an_equal_error_among_many_distinct_responses_is_held_no_longer_than_usual() {
+fn rare_equal_error_is_held_as_usual() {
     let mut fixture = Fixture::with_distinct_responses(MANY_RESPONSES);
     let error = response(503, "");
     fixture.exchange(&error, true);
     fixture.now += fixture.history.copy_window();
     fixture.begin_request();
-    fixture.receive_held(&error);
-    let came_at = fixture.now;
+    fixture.expect_held(&error);
+    let arrived_at = fixture.now;
     assert_eq!(fixture.release(), error);
-    assert_eq!(fixture.now - came_at, fixture.hold_time());
+    assert_eq!(fixture.now - arrived_at, fixture.hold_time());
 }
 
 /// Guards against a long hold on each backend of a tier that sends equal responses.
 #[test]
-fn a_tier_that_gives_equal_responses_pays_the_long_hold_once() {
+fn tier_with_equal_responses_has_one_long_hold() {
     let tier = Rc::<DistinctRun>::default();
     let mut first = Fixture::of_tier(tier.clone());
-    first.give_distinct_responses(MANY_RESPONSES);
+    first.send_distinct_responses(MANY_RESPONSES);
     assert_eq!(hold_time_of_equal(&mut first, "equal"), repeat_history::MAX_HOLD_TIME);
     let mut second = Fixture::of_tier(tier);
     for fixture in [&mut first, &mut second] {
-        fixture.give_distinct_responses(MANY_RESPONSES);
+        fixture.send_distinct_responses(MANY_RESPONSES);
         let usual = fixture.hold_time();
         assert_eq!(hold_time_of_equal(fixture, "another"), usual);
     }
@@ -877,19 +877,19 @@
 
 /// It shows that the tier sends equal responses, so no long hold follows.
 #[test]
-fn an_equal_response_of_two_connections_is_one_that_the_tier_gives() {
+fn equal_content_on_two_connections_counts_for_tier() {
     let mut fixture = Fixture::with_distinct_responses(MANY_RESPONSES);
     fixture.exchange(&response(200, "equal"), false);
-    fixture.connect_again();
+    fixture.reconnect();
     fixture.exchange(&response(200, "equal"), false);
     let usual = fixture.hold_time();
     assert_eq!(hold_time_of_equal(&mut fixture, "another"), usual);
 }
 
 #[test]
-fn a_tier_that_gave_an_equal_response_long_ago_gives_few() {
+fn equal_responses_become_rare_again() {
     let mut fixture = Fixture::with_distinct_responses(MANY_RESPONSES);
     hold_time_of_equal(&mut fixture, "equal");
-    fixture.give_distinct_responses(1000);
+    fixture.send_distinct_responses(1000);
     assert_eq!(hold_time_of_equal(&mut fixture, "another"), repeat_history::MAX_HOLD_TIME);
 }
