--- a/crates/proxy/src/transport/client_socket.rs
+++ b/crates/proxy/src/transport/client_socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket, and the check whether the client is still connected.
+//! A client's socket, and a check of whether the client is still connected.
 
 use super::unread_probe::UnreadProbe;
 use hyper::rt::{Read, ReadBufCursor, Write};
--- a/crates/proxy/src/upstream/repeat_filter/remembered_responses.rs
+++ b/crates/proxy/src/upstream/repeat_filter/remembered_responses.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// What bytes are that begin like a remembered response and then differ.
+/// The meaning of bytes that begin like a remembered response and then differ from it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Divergence {
     /// Another response.
@@ -117,7 +117,7 @@
         self.responses.iter().any(|response| response.cooldown_ends_at.is_some_and(|until| now < until))
     }
 
-    /// Classifies bytes that are not the start of any remembered response.
+    /// Classifies bytes that begin like a remembered response and then differ from it.
     pub(super) fn divergence(&self, bytes: &[u8]) -> Divergence {
         let mut divergence = Divergence::OtherResponse;
         for response in &self.responses {
--- a/crates/proxy/src/upstream/repeat_filter/repeat_history.rs
+++ b/crates/proxy/src/upstream/repeat_filter/repeat_history.rs
@@ -13,7 +13,7 @@
 
 /// How long a backend is taken to repeat after its last copy.
 pub(super) const REPEATER_RETENTION: Duration = Duration::from_secs(60);
-/// A copy may arrive up to this many times later than the latest copy that was seen.
+/// A copy may arrive after up to this many times the longest delay of a copy that was seen.
 const COPY_DELAY_FACTOR: u32 = 8;
 /// The minimum time for which a copy of a response is expected. Either side may be delayed.
 const MIN_COPY_WINDOW: Duration = Duration::from_millis(250);
