--- a/crates/proxy/src/transport/tests.rs
+++ b/crates/proxy/src/transport/tests.rs
@@ -1,13 +1,20 @@
 //! Unit tests of the transport.
 
-use super::*;
+use super::{
+    ArrivalProbe, ClientSocket, MAX_HEAD_BYTES, ObservedStream, RequestBody, RequestPayload, StreamedUpload,
+    UnreadProbe, WRITE_STALL_TIMEOUT, enable_receive_timestamps,
+};
 use hyper::Request;
 use hyper::client::conn::http1::handshake;
 use hyper::rt::{Read, Write};
 use hyper_util::rt::TokioIo;
+use socket2::SockRef;
 use std::future::poll_fn;
+use std::io;
 use std::pin::Pin;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
+use tokio::net::TcpStream;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
@@ -17,8 +24,8 @@
     }
 }
 
-/// Sends a request with a body over an in-memory connection whose far end is driven by `drive_far_end` and then
-/// closed. Returns whether the request was written completely before that.
+/// Sends a request with a body over an in-memory connection whose far end is driven by `drive_far_end` and
+/// then closed. Returns whether the request was written completely before that.
 async fn completes_before_close(body: usize, drive_far_end: impl AsyncFnOnce(&mut DuplexStream)) -> bool {
     let (near, mut far) = duplex(1024);
     LocalSet::new()
--- a/crates/proxy/src/upstream/repeat_filter/tests.rs
+++ b/crates/proxy/src/upstream/repeat_filter/tests.rs
@@ -1,12 +1,14 @@
 //! Unit tests of the repeat filter: single cases, and a property over random cuts and orders of the bytes.
 
 use super::remembered_responses::{MAX_REMEMBERED_BYTES, MAX_REMEMBERED_RESPONSES};
-use super::response_content::MAX_COMPARED_BYTES;
-use super::*;
+use super::response_bytes::head_length;
+use super::response_content::{MAX_COMPARED_BYTES, ResponseContent};
+use super::{AmbiguousResponse, DistinctRun, RepeatFilter, RepeatHistory, repeat_history};
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 use std::time::Duration;
+use tokio::time::Instant;
 
 const BODY_LENGTH: usize = 16;
 
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -1,6 +1,6 @@
 //! Unit tests of attempts and the connection pool.
 
-use super::*;
+use super::{Attempt, ConnectionPool, PoolLimits, UpstreamRequest};
 use crate::transport::{ClientSocket, RequestPayload, SendGuard};
 use bytes::Bytes;
 use foldhitch_balancer::api::Outcome;
