--- a/crates/proxy/src/upstream/repeat_filter/mod.rs
+++ b/crates/proxy/src/upstream/repeat_filter/mod.rs
@@ -218,16 +218,16 @@
         let is_known_equal = history.is_known_equal(&remembered.content);
         let is_expected = history.repeats(now) && is_copy_possible;
         let is_copy = is_followed || is_expected && !is_known_equal && !remembered.was_copied;
-        let is_answer = is_known_equal && !is_expected;
+        let is_response = is_known_equal && !is_expected;
         if is_copy {
             self.drop_copy(index, history, now);
-        } else if is_answer {
+        } else if is_response {
             self.hold = None;
             self.forward_response();
         } else {
             self.hold(HeldKind::Complete, history, now);
         }
-        is_copy || is_answer
+        is_copy || is_response
     }
 
     /// Holds the received bytes until more arrive, for a limited time.
@@ -263,13 +263,13 @@
     /// Returns whether the held bytes are the start or all of a copy that is expected from a repeating
     /// backend.
     fn is_expected_copy(&self, hold: Hold, history: &RepeatHistory, now: Instant) -> bool {
-        let is_copy_possible = |copy: &RememberedResponse| {
+        let is_expected = |copy: &RememberedResponse| {
             copy.content.may_start_with(&self.held)
                 && copy.is_copy_possible(history, hold.began_at)
                 && !copy.was_copied
                 && !history.is_known_equal(&copy.content)
         };
-        history.repeats(now) && self.remembered.iter().any(is_copy_possible)
+        history.repeats(now) && self.remembered.iter().any(is_expected)
     }
 
     /// Forwards bytes whose hold time is over. The connection remains under observation until they are known
