--- a/crates/proxy/src/transport/observed_stream.rs
+++ b/crates/proxy/src/transport/observed_stream.rs
@@ -1,5 +1,5 @@
-//! A stream that observes what is read and written: whether a request got out completely, whether the other side
-//! has stopped taking bytes, and since when it sends.
+//! A stream that records reads and writes: whether a request was written completely, whether the peer has
+//! stopped accepting bytes, and when the peer began to send.
 
 use super::arrival::ArrivalProbe;
 use super::progress::StreamProgress;
@@ -14,36 +14,36 @@
 use std::task::{Context, Poll, ready};
 use tokio::time::{Instant, Sleep, sleep};
 
-/// How much is read at once while a head is copied, in bytes.
+/// The maximum number of bytes per read while a head is copied.
 const HEAD_READ_BYTES: usize = 4096;
 
-/// A stream that observes what is read and written.
+/// A stream that records reads and writes.
 pub struct ObservedStream<S> {
     stream: S,
     progress: Rc<StreamProgress>,
     stall_timer: Option<Pin<Box<Sleep>>>,
-    /// As long as bytes may lie there that came before the connection was served.
+    /// Set as long as there may be unread bytes that arrived before the connection was served.
     arrival_probe: Option<ArrivalProbe>,
 }
 
 impl<S> ObservedStream<S> {
-    /// Observes a stream.
+    /// Wraps a stream.
     pub fn new(stream: S) -> Self {
         ObservedStream { stream, progress: Rc::default(), stall_timer: None, arrival_probe: None }
     }
 
-    /// Observes a new connection, on which bytes may have waited for some time: what is read of them counts from when
-    /// they came.
-    pub fn with_arrivals(stream: S, arrival_probe: Option<ArrivalProbe>) -> Self {
+    /// Wraps the stream of a new connection, on which bytes may have waited to be read. Those bytes count
+    /// from their arrival.
+    pub fn with_arrival_probe(stream: S, arrival_probe: Option<ArrivalProbe>) -> Self {
         ObservedStream { arrival_probe, ..ObservedStream::new(stream) }
     }
 
-    /// What is observed.
+    /// Returns the recorded progress.
     pub fn progress(&self) -> Rc<StreamProgress> {
         self.progress.clone()
     }
 
-    /// Notes the result of a write, and fails one that makes no headway.
+    /// Records the result of a write. Fails the write if it makes no progress for [`WRITE_STALL_TIMEOUT`].
     fn observe_write(
         &mut self,
         context: &mut Context<'_>,
@@ -57,28 +57,28 @@
         }
         self.stall_timer = None;
         if matches!(result, Poll::Ready(Ok(1..))) {
-            write.has_begun.set(true);
-            if let Some(waiter) = write.first_byte_waiter.take() {
-                waiter.wake();
+            write.is_request_started.set(true);
+            if let Some(waker) = write.first_byte_waker.take() {
+                waker.wake();
             }
         }
         result
     }
 
-    /// When the bytes came that a read of so many would find; none if they have not waited. Whatever comes after such
-    /// a read is read as it comes.
-    fn waiting_since(&mut self, read_bytes: usize) -> Option<Instant> {
-        let waiting_since = self.arrival_probe.as_ref()?.waiting_since(read_bytes);
-        if waiting_since.is_none() {
+    /// Returns when the bytes that a read of `read_bytes` bytes would return arrived, or `None` if they have
+    /// not waited. After the first `None`, all bytes count from the time of their read.
+    fn arrival_time(&mut self, read_bytes: usize) -> Option<Instant> {
+        let arrival_time = self.arrival_probe.as_ref()?.arrival_time(read_bytes);
+        if arrival_time.is_none() {
             self.arrival_probe = None;
         }
-        waiting_since
+        arrival_time
     }
 
-    fn observe_read(&self, waiting_since: Option<Instant>) {
+    fn observe_read(&self, arrival_time: Option<Instant>) {
         let read = &self.progress.read;
         let now = Instant::now();
-        read.last_byte_at.set(Some(waiting_since.unwrap_or(now)));
+        read.last_byte_at.set(Some(arrival_time.unwrap_or(now)));
         if read.first_byte_at.get().is_none() {
             read.first_byte_at.set(Some(now));
         }
@@ -86,8 +86,9 @@
 }
 
 impl<S: UnreadProbe> ObservedStream<S> {
-    /// Before the first byte of a request nothing may lie on its connection: a late second copy of the response
-    /// before would be taken for the response to this one. Nor may it have become unwanted.
+    /// Checks, before the first byte of a request, that the connection has no unread bytes and that the
+    /// request is still wanted. A late second copy of the previous response would be taken for the response
+    /// to this request.
     fn check_before_request(&self) -> io::Result<()> {
         let write = &self.progress.write;
         if !write.is_request_due.replace(false) {
@@ -102,7 +103,7 @@
 }
 
 impl<S: Read + Unpin> ObservedStream<S> {
-    /// Reads no more than so many bytes, and shows them.
+    /// Reads at most `most_bytes` bytes and passes them to `observe`.
     fn read_at_most(
         &mut self,
         context: &mut Context<'_>,
@@ -110,32 +111,32 @@
         most_bytes: usize,
         observe: impl FnOnce(&[u8]),
     ) -> Poll<io::Result<()>> {
-        let mut space = [MaybeUninit::uninit(); MAX_HEAD_BYTES];
-        let length = buffer.remaining().min(most_bytes).min(space.len());
-        let mut read = ReadBuf::uninit(&mut space[..length]);
+        let mut storage = [MaybeUninit::uninit(); MAX_HEAD_BYTES];
+        let length = buffer.remaining().min(most_bytes).min(storage.len());
+        let mut read = ReadBuf::uninit(&mut storage[..length]);
         ready!(Pin::new(&mut self.stream).poll_read(context, read.unfilled()))?;
         observe(read.filled());
         buffer.put_slice(read.filled());
         Poll::Ready(Ok(()))
     }
 
-    /// Reads, and keeps a copy of what belongs to a head.
+    /// Reads part of a head and keeps a copy of it.
     fn poll_read_head(
         &mut self,
         context: &mut Context<'_>,
         buffer: ReadBufCursor<'_>,
         mut head: Vec<u8>,
     ) -> Poll<io::Result<()>> {
-        let waiting_since = self.waiting_since(buffer.remaining().min(HEAD_READ_BYTES));
+        let arrival_time = self.arrival_time(buffer.remaining().min(HEAD_READ_BYTES));
         let read = self.read_at_most(context, buffer, HEAD_READ_BYTES, |bytes| head.extend_from_slice(bytes));
         self.progress.read.head.replace(Some(head));
         if read.is_ready() {
-            self.observe_read(waiting_since);
+            self.observe_read(arrival_time);
         }
         read
     }
 
-    /// Reads no further than a body goes: the head behind it is read by itself.
+    /// Reads no further than the end of the body, so that the head after it is read separately.
     fn poll_read_body(
         &mut self,
         context: &mut Context<'_>,
@@ -143,17 +144,17 @@
         remaining: u64,
     ) -> Poll<io::Result<()>> {
         let most_bytes = usize::try_from(remaining).unwrap_or(usize::MAX);
-        let waiting_since = self.waiting_since(buffer.remaining().min(most_bytes));
+        let arrival_time = self.arrival_time(buffer.remaining().min(most_bytes));
         let mut length = 0;
         let read = self.read_at_most(context, buffer, most_bytes, |bytes| length = bytes.len());
         if read.is_ready() {
-            self.observe_read(waiting_since);
+            self.observe_read(arrival_time);
             self.progress.read.count_body(length);
         }
         read
     }
 
-    /// Reads what comes next: a body, a head or else.
+    /// Reads the next bytes of a body, of a head, or of a message that is not inspected.
     fn poll_read_message(
         &mut self,
         context: &mut Context<'_>,
@@ -166,20 +167,20 @@
         let head = self.progress.read.head.take().filter(|head| head.len() < MAX_HEAD_BYTES);
         match head {
             Some(head) => self.poll_read_head(context, buffer, head),
-            None => self.poll_read_other(context, buffer),
+            None => self.poll_read_uninspected(context, buffer),
         }
     }
 
-    /// Reads what is not looked at.
-    fn poll_read_other(
+    /// Reads bytes that are not inspected.
+    fn poll_read_uninspected(
         &mut self,
         context: &mut Context<'_>,
         buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let waiting_since = self.waiting_since(buffer.remaining());
+        let arrival_time = self.arrival_time(buffer.remaining());
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         if read.is_ready() {
-            self.observe_read(waiting_since);
+            self.observe_read(arrival_time);
         }
         read
     }
@@ -224,7 +225,7 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let write = &self.progress.write;
-        if write.has_begun.get() && write.is_body_taken.get() {
+        if write.is_request_started.get() && write.is_body_taken.get() {
             write.is_flushed.set(true);
         }
         write.has_unsent.set(false);
--- a/crates/proxy/src/upstream/repeat_filter/filtered_stream.rs
+++ b/crates/proxy/src/upstream/repeat_filter/filtered_stream.rs
@@ -1,6 +1,6 @@
 //! The stream of a connection to a backend, without copies of responses.
 
-use super::{RepeatFilter, RepeatHistory, Untrusted};
+use super::{AmbiguousResponse, RepeatFilter, RepeatHistory};
 use crate::transport::UnreadProbe;
 use bytes::Buf;
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
@@ -14,20 +14,20 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// How much is read at once, in bytes.
+/// The maximum number of bytes per read.
 const READ_BYTES: usize = 4096;
 
-/// A stream from which copies of responses are taken out.
+/// A stream from which copies of responses are removed.
 pub(in crate::upstream) struct FilteredStream {
     stream: TokioIo<TcpStream>,
     filter: Rc<RefCell<RepeatFilter>>,
     history: Rc<RepeatHistory>,
-    /// Ends the time for which bytes are held.
+    /// Fires when the hold of bytes ends.
     release_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl FilteredStream {
-    /// Filters the stream of a connection to a backend with this history.
+    /// Filters the stream of a connection to the backend with this history.
     pub(in crate::upstream) fn new(
         stream: TcpStream,
         filter: Rc<RefCell<RepeatFilter>>,
@@ -42,10 +42,10 @@
 
     fn receive(&self, bytes: &[u8]) -> io::Result<()> {
         let received = self.filter.borrow_mut().receive(bytes, &self.history, Instant::now());
-        received.map_err(|Untrusted| io::ErrorKind::InvalidData.into())
+        received.map_err(|AmbiguousResponse| io::ErrorKind::InvalidData.into())
     }
 
-    /// Passes on what is held once its time is up; pending until then, and where no time is set.
+    /// Forwards held bytes once their hold ends. Pending until then, and as long as the hold has no end.
     fn poll_release(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let now = Instant::now();
         let Some(held_until) = self.filter.borrow().held_until(&self.history, now) else {
@@ -62,8 +62,8 @@
         Poll::Ready(())
     }
 
-    /// Gives what can be passed on; false if there is nothing.
-    fn give_ready(&self, buffer: &mut ReadBufCursor<'_>) -> bool {
+    /// Copies bytes that can be forwarded into a buffer. Returns `false` if there are none.
+    fn fill_buffer(&self, buffer: &mut ReadBufCursor<'_>) -> bool {
         let ready = &mut self.filter.borrow_mut().ready;
         let length = ready.len().min(buffer.remaining());
         buffer.put_slice(&ready[..length]);
@@ -89,11 +89,11 @@
             return Pin::new(&mut self.stream).poll_read(context, buffer);
         }
         loop {
-            if self.give_ready(&mut buffer) {
+            if self.fill_buffer(&mut buffer) {
                 return Poll::Ready(Ok(()));
             }
-            let mut space = [0; READ_BYTES];
-            let mut read = ReadBuf::new(&mut space);
+            let mut storage = [0; READ_BYTES];
+            let mut read = ReadBuf::new(&mut storage);
             if Pin::new(&mut self.stream).poll_read(context, read.unfilled())?.is_pending() {
                 ready!(self.poll_release(context));
                 continue;
