--- a/crates/proxy/src/downstream/accept_queue.rs
+++ b/crates/proxy/src/downstream/accept_queue.rs
@@ -14,21 +14,21 @@
 /// The queue of a listener.
 pub(super) struct AcceptQueue {
     listener: TcpListener,
-    has_stamps: bool,
+    has_arrival_timestamps: bool,
     /// Whether the next accept asks the system, and not only the reactor, which knows what it saw when it last looked.
-    asks_system: Cell<bool>,
+    queries_kernel: Cell<bool>,
     /// When the queue was last known to be empty.
-    empty_at: Cell<Instant>,
+    last_empty_at: Cell<Instant>,
 }
 
 impl AcceptQueue {
     /// The queue of a listener that has just been made.
     pub(super) fn new(listener: TcpListener) -> Self {
         AcceptQueue {
-            has_stamps: stamp_arrivals(&listener),
+            has_arrival_timestamps: stamp_arrivals(&listener),
             listener,
-            asks_system: Cell::new(false),
-            empty_at: Cell::new(Instant::now()),
+            queries_kernel: Cell::new(false),
+            last_empty_at: Cell::new(Instant::now()),
         }
     }
 
@@ -39,28 +39,28 @@
 
     fn poll_accept(&self, context: &mut Context<'_>) -> Poll<io::Result<TcpStream>> {
         // A task that has had its turn is told that there is nothing, whatever there is.
-        let has_turn = has_budget_remaining();
+        let has_budget = has_budget_remaining();
         let accepted = self.listener.poll_accept(context);
         if accepted.is_ready() {
-            self.asks_system.set(true);
-        } else if has_turn && self.asks_system.replace(false) {
-            self.empty_at.set(Instant::now());
+            self.queries_kernel.set(true);
+        } else if has_budget && self.queries_kernel.replace(false) {
+            self.last_empty_at.set(Instant::now());
         }
         accepted.map_ok(|(stream, _)| stream)
     }
 
     /// Asks the system whether the queue is empty.
-    pub(super) fn look(&self) {
+    pub(super) fn check_empty(&self) {
         let mut descriptors = [PollFd::new(self.listener.as_fd(), PollFlags::POLLIN)];
         if poll(&mut descriptors, PollTimeout::ZERO) == Ok(0) {
-            self.empty_at.set(Instant::now());
+            self.last_empty_at.set(Instant::now());
         }
     }
 
     /// Since when the connections in the queue may have waited there; none where the system doesn't note when bytes
     /// come.
     pub(super) fn waiting_since(&self) -> Option<Instant> {
-        if self.has_stamps { Some(self.empty_at.get()) } else { None }
+        if self.has_arrival_timestamps { Some(self.last_empty_at.get()) } else { None }
     }
 
     /// The listener, to be asked without the reactor.
--- a/crates/proxy/src/downstream/accept_statistics.rs
+++ b/crates/proxy/src/downstream/accept_statistics.rs
@@ -15,9 +15,9 @@
 struct AcceptCounts {
     accepted: u64,
     evicted_closing: u64,
-    evicted_late: u64,
+    evicted_stalled: u64,
     evicted_rejected: u64,
-    evicted_used: u64,
+    evicted_served: u64,
     evicted_arriving: u64,
     /// Connections that were to give way and stayed, since a request was on its way.
     kept: u64,
@@ -31,9 +31,9 @@
     fn add(&mut self, other: AcceptCounts) {
         self.accepted += other.accepted;
         self.evicted_closing += other.evicted_closing;
-        self.evicted_late += other.evicted_late;
+        self.evicted_stalled += other.evicted_stalled;
         self.evicted_rejected += other.evicted_rejected;
-        self.evicted_used += other.evicted_used;
+        self.evicted_served += other.evicted_served;
         self.evicted_arriving += other.evicted_arriving;
         self.kept += other.kept;
         self.rejected += other.rejected;
@@ -44,16 +44,16 @@
 
 impl AcceptCounts {
     fn evicted(&self) -> u64 {
-        let in_good_time = self.evicted_closing + self.evicted_late + self.evicted_rejected;
-        in_good_time + self.evicted_used + self.evicted_arriving
+        let inactive = self.evicted_closing + self.evicted_stalled + self.evicted_rejected;
+        inactive + self.evicted_served + self.evicted_arriving
     }
 }
 
 impl fmt::Display for AcceptCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} accepted, {} evicted", self.accepted, self.evicted())?;
-        write!(formatter, " ({} closing, {} late,", self.evicted_closing, self.evicted_late)?;
-        write!(formatter, " {} rejected before, {} idle,", self.evicted_rejected, self.evicted_used)?;
+        write!(formatter, " ({} closing, {} late,", self.evicted_closing, self.evicted_stalled)?;
+        write!(formatter, " {} rejected before, {} idle,", self.evicted_rejected, self.evicted_served)?;
         write!(formatter, " {} arriving),", self.evicted_arriving)?;
         write!(formatter, " {} kept with a request on its way,", self.kept)?;
         write!(formatter, " {} requests rejected, {} errors,", self.rejected, self.errors)?;
@@ -76,7 +76,7 @@
 
 impl AcceptStatistics {
     pub(super) fn record_accepted(&self) {
-        self.end_block();
+        self.end_blocked_interval();
         self.count(|counts| counts.accepted += 1);
     }
 
@@ -85,10 +85,10 @@
         self.was_full.set(true);
         self.count(|counts| match kind {
             IdleKind::Closing => counts.evicted_closing += 1,
-            IdleKind::Late => counts.evicted_late += 1,
+            IdleKind::Stalled => counts.evicted_stalled += 1,
             IdleKind::Rejected => counts.evicted_rejected += 1,
-            IdleKind::Used => counts.evicted_used += 1,
-            IdleKind::Arriving | IdleKind::Sending => counts.evicted_arriving += 1,
+            IdleKind::Served => counts.evicted_served += 1,
+            IdleKind::New | IdleKind::Sending => counts.evicted_arriving += 1,
         });
     }
 
@@ -114,13 +114,13 @@
     }
 
     /// Logs what was counted since the last line, if that is long enough ago and there was no space since then.
-    pub(super) fn log_if_full(&self) {
+    pub(super) fn log_recent_if_full(&self) {
         let is_due = self.logged_at.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL);
         if !is_due || !self.was_full.replace(false) {
             return;
         }
         self.logged_at.set(Some(Instant::now()));
-        self.note_block();
+        self.update_longest_without_accept();
         let recent = self.recent.take();
         self.accumulate(recent);
         log!("no space for clients: {recent}");
@@ -128,7 +128,7 @@
 
     /// Logs what was counted in all, if there ever was no space.
     pub(super) fn log_total(&self) {
-        self.end_block();
+        self.end_blocked_interval();
         let was_full = self.was_full.get() || self.logged_at.get().is_some();
         self.accumulate(self.recent.take());
         if was_full {
@@ -148,12 +148,12 @@
         self.total.set(total);
     }
 
-    fn end_block(&self) {
-        self.note_block();
+    fn end_blocked_interval(&self) {
+        self.update_longest_without_accept();
         self.blocked_since.set(None);
     }
 
-    fn note_block(&self) {
+    fn update_longest_without_accept(&self) {
         let Some(since) = self.blocked_since.get() else { return };
         self.count(|counts| {
             counts.longest_without_accept = counts.longest_without_accept.max(since.elapsed());
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -52,13 +52,13 @@
     socket: ClientSocket,
     state: Rc<ConnectionState>,
     /// It was accepted past the limit: its next answer is its last.
-    is_past_limit: Cell<bool>,
+    is_over_limit: Cell<bool>,
 }
 
 /// When a request began, and when its head had come.
 #[derive(Clone, Copy)]
 struct RequestTimes {
-    begun_at: Instant,
+    started_at: Instant,
     received_at: Instant,
 }
 
@@ -84,7 +84,7 @@
     pub(super) fn new(
         server: Rc<Server>,
         stream: TcpStream,
-        is_past_limit: bool,
+        is_over_limit: bool,
         waiting_since: Option<Instant>,
     ) -> Self {
         let is_prepared = prepare(&stream).is_ok();
@@ -94,8 +94,8 @@
         let guard = ConnectionGuard::new(&server.table, stream.progress(), socket.liveness());
         let state = guard.state.clone();
         state.progress.expect_head();
-        let is_past_limit = Cell::new(is_past_limit);
-        let connection = ClientConnection { server, socket, state, is_past_limit };
+        let is_over_limit = Cell::new(is_over_limit);
+        let connection = ClientConnection { server, socket, state, is_over_limit };
         AcceptedConnection { connection, stream, guard, is_prepared }
     }
 
@@ -133,10 +133,10 @@
         let mut connection = pin!(connection);
         let is_in_flight = || state.phase.get() == RequestPhase::InFlight;
         let mut disconnected = pin!(self.socket.disconnected(is_in_flight));
-        let mut ending = pin!(async {
+        let mut idle_close_due = pin!(async {
             tokio::select! {
                 _ = phase.wait_for(|phase| *phase == ListenerPhase::ClosingIdle) => {}
-                () = self.drained() => {}
+                () = self.drain_close_due() => {}
             }
         });
         loop {
@@ -154,17 +154,17 @@
                         continue;
                     }
                     if state.progress.is_read_pending() && !self.socket.has_unread() {
-                        self.reject_first_request();
+                        self.reject_if_unanswered();
                         return !state.was_answered.get() && !self.server.is_full();
                     }
                     // A client that sends again at once is never idle: were it to stay, it would hold its place for ever.
-                    state.is_last_answer.set(true);
+                    state.closes_after_answer.set(true);
                     self.server.statistics.record_kept();
                 }
-                () = ending.as_mut(), if !state.is_last_answer.get() => state.is_last_answer.set(true),
-                () = self.idle_at_last_answer() => {
+                () = idle_close_due.as_mut(), if !state.closes_after_answer.get() => state.closes_after_answer.set(true),
+                () = self.idle_before_close() => {
                     if !self.socket.has_unread() {
-                        self.reject_first_request();
+                        self.reject_if_unanswered();
                         return true;
                     }
                     // The reactor is about to tell of it.
@@ -176,20 +176,20 @@
 
     /// On a connection that ends before its first answer: a request that is on its way has its answer already when it
     /// comes. On one that was used a request that crosses the close may be sent again.
-    fn reject_first_request(&self) {
+    fn reject_if_unanswered(&self) {
         if !self.state.was_answered.get() {
             self.socket.send_last(&rejected_response_bytes(self.server.retry_after()));
         }
     }
 
     /// Ready, whenever it is polled, if the connection is to end and nothing of a request has come.
-    async fn idle_at_last_answer(&self) {
-        let is_over = || self.state.is_last_answer.get() && self.state.is_idle();
-        poll_fn(|_| if is_over() { Poll::Ready(()) } else { Poll::Pending }).await;
+    async fn idle_before_close(&self) {
+        let can_close = || self.state.closes_after_answer.get() && self.state.is_idle();
+        poll_fn(|_| if can_close() { Poll::Ready(()) } else { Poll::Pending }).await;
     }
 
     /// Comes back once the proxy has been draining for so long that idle connections are to be closed.
-    async fn drained(&self) {
+    async fn drain_close_due(&self) {
         let mut draining = self.server.dispatcher.draining();
         // The dispatcher outlives its connections, so that no wait here fails.
         while draining.wait_for(|is_draining| *is_draining).await.is_ok() {
@@ -203,7 +203,7 @@
     async fn respond(&self, request: Request<Incoming>) -> ClientResponse {
         let guard = ResponseGuard(self.state.clone());
         let mut response = self.answer(request).await;
-        response.body_mut().hold(guard);
+        response.body_mut().hold_guard(guard);
         response
     }
 
@@ -222,7 +222,7 @@
             }
             Ok((request, _guard)) => self.dispatch(request).await,
         };
-        if self.is_last_answer() || self.state.is_next_head_uncertain() {
+        if self.should_close_after_answer() || self.state.is_next_head_uncertain() {
             close_after(&mut response);
         }
         response
@@ -234,15 +234,16 @@
         let progress = &self.state.progress;
         let received_at = progress.last_byte_at().unwrap_or_else(Instant::now);
         let is_first = !self.state.was_answered.get();
-        let begun_at = if is_first { Some(self.state.since.get()) } else { progress.first_byte_at() };
-        RequestTimes { begun_at: begun_at.unwrap_or(received_at), received_at }
+        let started_at =
+            if is_first { Some(self.state.last_active_at.get()) } else { progress.first_byte_at() };
+        RequestTimes { started_at: started_at.unwrap_or(received_at), received_at }
     }
 
     fn health(&self) -> ClientResponse {
         let dispatcher = &self.server.dispatcher;
         let is_ready = dispatcher.has_ready_endpoint() && !*dispatcher.draining().borrow();
         let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-        if self.is_last_answer() { closing_response(status) } else { empty_response(status) }
+        if self.should_close_after_answer() { closing_response(status) } else { empty_response(status) }
     }
 
     async fn dispatch(&self, request: IncomingRequest) -> ClientResponse {
@@ -251,17 +252,17 @@
         let answer = self.server.dispatcher.dispatch(request).await;
         if matches!(answer, Answer::Served(_)) {
             self.state.was_served.set(true);
-            if self.is_past_limit.get() && self.server.can_keep_served() {
-                self.is_past_limit.set(false);
+            if self.is_over_limit.get() && self.server.can_keep_served() {
+                self.is_over_limit.set(false);
             }
         }
         answer_response(answer)
     }
 
     /// Whether an answer is to be the last on this connection.
-    fn is_last_answer(&self) -> bool {
-        self.is_past_limit.get()
-            || self.state.is_last_answer.get()
+    fn should_close_after_answer(&self) -> bool {
+        self.is_over_limit.get()
+            || self.state.closes_after_answer.get()
             || *self.server.dispatcher.draining().borrow()
             || self.server.is_handed_over.get()
     }
@@ -284,7 +285,7 @@
     ) -> Result<(IncomingRequest, RequestIdGuard), Rejection> {
         let (head, body) = request.into_parts();
         let length = body.size_hint().exact();
-        self.take_framing(&head, length)?;
+        self.check_body_framing(&head, length)?;
         let has_body = !body.is_end_stream();
         let settings = self.server.dispatcher.settings();
         let mut parsed = parse_head(&settings, &head, has_body)?;
@@ -303,7 +304,7 @@
             parsed.class = current.class;
             parsed.tenant = current.tenant;
         }
-        let (payload, extension) = self.payload(body, length, parsed.client_timeout);
+        let (payload, extension) = self.request_payload(body, length, parsed.client_timeout);
         let request = UpstreamRequest {
             host: head.headers.get(HOST).cloned(),
             method: head.method.clone(),
@@ -328,7 +329,7 @@
     }
 
     /// Checks how the body of this length, if that is known, is framed, and notes where the next head begins.
-    fn take_framing(&self, head: &Parts, length: Option<u64>) -> Result<(), Rejection> {
+    fn check_body_framing(&self, head: &Parts, length: Option<u64>) -> Result<(), Rejection> {
         let progress = &self.state.progress;
         let raw_head = progress.take_head();
         progress.expect_body(unread_body_bytes(&raw_head, length));
@@ -349,7 +350,7 @@
         times: RequestTimes,
         guard: &mut RequestIdGuard,
     ) -> Result<ReceivedBody, Rejection> {
-        let mut deadline = BodyReadDeadline::new(times.begun_at);
+        let mut deadline = BodyReadDeadline::new(times.started_at);
         let limit = self.server.limits.get().max_body_bytes;
         match buffer_body(&mut body, &mut deadline, guard, limit).await {
             Ok(BufferedBody::Complete(data)) => Ok(ReceivedBody::Complete(data)),
@@ -368,7 +369,7 @@
 
     /// What is sent as the body, which is streamed if it is too long to be buffered; and how much longer than the
     /// client's timeout that may take.
-    fn payload(
+    fn request_payload(
         &self,
         body: ReceivedBody,
         length: Option<u64>,
--- a/crates/proxy/src/downstream/connection_table.rs
+++ b/crates/proxy/src/downstream/connection_table.rs
@@ -10,13 +10,13 @@
 use tokio::time::Instant;
 
 /// A head must have come completely so long after its first byte, a connection's first head so long after the
-/// connect: clients may take [`HEAD_TIMEOUT`] for it, and who sends nothing, or sends for ever, is to get an answer or
+/// connect: clients may take [`MAX_CLIENT_HEAD_TIME`] for it, and who sends nothing, or sends for ever, is to get an answer or
 /// a close within 3 s.
-pub(super) const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(2500);
+pub(super) const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 /// So long a client may take for its head.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_CLIENT_HEAD_TIME: Duration = Duration::from_secs(2);
 /// The first request of a client may come so long after its connect.
-const NEWCOMER_GRACE: Duration = Duration::from_millis(500);
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(500);
 /// So many connections whose request is on its way are expected at once; more of them are a crowd.
 const MAX_EXPECTED_ARRIVALS: usize = 4;
 /// A connection may be idle so long between requests, while there is space for others.
@@ -39,13 +39,13 @@
     /// It is closing anyway.
     Closing,
     /// It has had the time for its first byte, or for its head.
-    Late,
+    Stalled,
     /// It was rejected before, and sends nothing.
     Rejected,
     /// It was served before, and sends nothing.
-    Used,
+    Served,
     /// It came lately and has sent nothing: its request may be on its way.
-    Arriving,
+    New,
     /// It sends a head or a body, within the time for that.
     Sending,
 }
@@ -69,7 +69,7 @@
     /// A streamed body is still being read, be its request answered or not.
     pub(super) is_reading_body: Cell<bool>,
     /// When it connected, or had its last answer.
-    pub(super) since: Cell<Instant>,
+    pub(super) last_active_at: Cell<Instant>,
     /// It has had an answer of some kind.
     pub(super) was_answered: Cell<bool>,
     /// It was served with a backend's response.
@@ -77,7 +77,7 @@
     pub(super) progress: Rc<StreamProgress>,
     pub(super) liveness: ClientLiveness,
     /// Its next answer is the last one.
-    pub(super) is_last_answer: Cell<bool>,
+    pub(super) closes_after_answer: Cell<bool>,
     pub(super) is_close_requested: Cell<bool>,
     pub(super) close_request: Notify,
 }
@@ -99,8 +99,8 @@
 
     /// Whether the connection may be asked to give way to another; not again if it was asked before.
     fn can_be_evicted(&self) -> bool {
-        let is_leaving = self.is_last_answer.get() && self.phase.get() != RequestPhase::Closing;
-        self.can_be_closed() && !is_leaving
+        let is_close_announced = self.closes_after_answer.get() && self.phase.get() != RequestPhase::Closing;
+        self.can_be_closed() && !is_close_announced
     }
 
     fn idle_kind(&self) -> IdleKind {
@@ -112,24 +112,27 @@
             return IdleKind::Sending;
         }
         if let Some(first_byte_at) = self.progress.first_byte_at() {
-            let is_in_time = first_byte_at.elapsed() < HEAD_TIMEOUT;
-            return if is_in_time { IdleKind::Sending } else { IdleKind::Late };
+            let is_on_time = first_byte_at.elapsed() < MAX_CLIENT_HEAD_TIME;
+            return if is_on_time { IdleKind::Sending } else { IdleKind::Stalled };
         }
         if self.was_served.get() {
-            IdleKind::Used
+            IdleKind::Served
         } else if self.was_answered.get() {
             IdleKind::Rejected
-        } else if self.since.get().elapsed() < NEWCOMER_GRACE {
-            IdleKind::Arriving
+        } else if self.last_active_at.get().elapsed() < FIRST_REQUEST_GRACE {
+            IdleKind::New
         } else {
-            IdleKind::Late
+            IdleKind::Stalled
         }
     }
 
     /// Whether nothing of a request has come.
     pub(super) fn is_idle(&self) -> bool {
-        let has_taken_all = self.progress.is_read_pending();
-        self.phase.get() == RequestPhase::Idle && has_taken_all && !self.is_sending() && self.can_be_closed()
+        let is_read_pending = self.progress.is_read_pending();
+        self.phase.get() == RequestPhase::Idle
+            && is_read_pending
+            && !self.is_sending()
+            && self.can_be_closed()
     }
 
     /// Whether something of its next request has come, or not all of the present one.
@@ -144,16 +147,16 @@
             return false;
         }
         match (self.was_answered.get(), self.progress.first_byte_at()) {
-            (false, _) => self.since.get().elapsed() > ARRIVAL_TIMEOUT,
-            (true, Some(first_byte_at)) => first_byte_at.elapsed() > ARRIVAL_TIMEOUT,
-            (true, None) => self.since.get().elapsed() > IDLE_TIMEOUT,
+            (false, _) => self.last_active_at.get().elapsed() > REQUEST_READ_TIMEOUT,
+            (true, Some(first_byte_at)) => first_byte_at.elapsed() > REQUEST_READ_TIMEOUT,
+            (true, None) => self.last_active_at.get().elapsed() > IDLE_TIMEOUT,
         }
     }
 
     /// Since when it has been idle; one that is sending has time for that first.
     fn idle_since(&self) -> Instant {
-        let grace = if self.is_sending() { HEAD_TIMEOUT } else { Duration::ZERO };
-        self.since.get() + grace
+        let grace = if self.is_sending() { MAX_CLIENT_HEAD_TIME } else { Duration::ZERO };
+        self.last_active_at.get() + grace
     }
 
     pub(super) fn request_close(&self) {
@@ -166,7 +169,7 @@
 #[derive(Default)]
 pub struct ConnectionTable {
     connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
-    next_number: Cell<u64>,
+    next_connection_id: Cell<u64>,
     /// Ids of the requests that are open.
     request_ids: RefCell<HashSet<HeaderValue>>,
     /// Requests whose answer is pending.
@@ -212,9 +215,9 @@
     purpose: EvictionPurpose,
 ) -> Option<(&'a Rc<ConnectionState>, IdleKind)> {
     let of_kind = |kind| candidates.iter().copied().filter(move |connection| connection.idle_kind() == kind);
-    let coming = of_kind(IdleKind::Arriving).count() + of_kind(IdleKind::Sending).count();
-    let has_crowd = coming > MAX_EXPECTED_ARRIVALS;
-    eviction_order(purpose, has_crowd).iter().find_map(|&kind| {
+    let arriving = of_kind(IdleKind::New).count() + of_kind(IdleKind::Sending).count();
+    let is_burst = arriving > MAX_EXPECTED_ARRIVALS;
+    eviction_order(purpose, is_burst).iter().find_map(|&kind| {
         let oldest = of_kind(kind).min_by_key(|connection| connection.idle_since())?;
         Some((oldest, kind))
     })
@@ -222,22 +225,22 @@
 
 /// Which kinds of connections give way, the first of them first. One that was served stays where a crowd comes; who
 /// arrives or sends gives way only if somebody must.
-fn eviction_order(purpose: EvictionPurpose, has_crowd: bool) -> &'static [IdleKind] {
-    use IdleKind::{Arriving, Closing, Late, Rejected, Sending, Used};
-    match (purpose, has_crowd) {
-        (EvictionPurpose::NewConnection, false) => &[Closing, Late, Rejected, Used],
-        (EvictionPurpose::NewConnection, true) => &[Closing, Late, Rejected],
-        (EvictionPurpose::ServedConnection, false) => &[Closing, Late, Rejected],
-        (EvictionPurpose::ServedConnection, true) => &[Closing, Late, Rejected, Arriving],
-        (EvictionPurpose::BlockedListener, false) => &[Closing, Late, Rejected, Used, Arriving, Sending],
-        (EvictionPurpose::BlockedListener, true) => &[Closing, Late, Rejected, Arriving, Sending, Used],
+fn eviction_order(purpose: EvictionPurpose, is_burst: bool) -> &'static [IdleKind] {
+    use IdleKind::{Closing, New, Rejected, Sending, Served, Stalled};
+    match (purpose, is_burst) {
+        (EvictionPurpose::NewConnection, false) => &[Closing, Stalled, Rejected, Served],
+        (EvictionPurpose::NewConnection, true) => &[Closing, Stalled, Rejected],
+        (EvictionPurpose::ServedConnection, false) => &[Closing, Stalled, Rejected],
+        (EvictionPurpose::ServedConnection, true) => &[Closing, Stalled, Rejected, New],
+        (EvictionPurpose::BlockedListener, false) => &[Closing, Stalled, Rejected, Served, New, Sending],
+        (EvictionPurpose::BlockedListener, true) => &[Closing, Stalled, Rejected, New, Sending, Served],
     }
 }
 
 /// A connection in the table; removed when this is dropped.
 pub(super) struct ConnectionGuard {
     table: Rc<ConnectionTable>,
-    number: u64,
+    id: u64,
     pub(super) state: Rc<ConnectionState>,
 }
 
@@ -247,28 +250,28 @@
         progress: Rc<StreamProgress>,
         liveness: ClientLiveness,
     ) -> Self {
-        let number = table.next_number.get();
-        table.next_number.set(number + 1);
+        let id = table.next_connection_id.get();
+        table.next_connection_id.set(id + 1);
         let state = Rc::new(ConnectionState {
             phase: Cell::new(RequestPhase::Idle),
             is_reading_body: Cell::new(false),
-            since: Cell::new(Instant::now()),
+            last_active_at: Cell::new(Instant::now()),
             was_answered: Cell::new(false),
             was_served: Cell::new(false),
             progress,
             liveness,
-            is_last_answer: Cell::new(false),
+            closes_after_answer: Cell::new(false),
             is_close_requested: Cell::new(false),
             close_request: Notify::new(),
         });
-        table.connections.borrow_mut().insert(number, state.clone());
-        ConnectionGuard { table: table.clone(), number, state }
+        table.connections.borrow_mut().insert(id, state.clone());
+        ConnectionGuard { table: table.clone(), id, state }
     }
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.table.connections.borrow_mut().remove(&self.number);
+        self.table.connections.borrow_mut().remove(&self.id);
     }
 }
 
@@ -281,7 +284,7 @@
         connection.phase.set(RequestPhase::Idle);
         connection.progress.expect_message();
         connection.progress.expect_head();
-        connection.since.set(Instant::now());
+        connection.last_active_at.set(Instant::now());
         connection.was_answered.set(true);
     }
 }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -17,7 +17,7 @@
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// When the listener is closed, connections that wait there are taken for no longer than this: in a crowd more come
 /// than can be taken.
-const QUEUE_LIMIT: Duration = Duration::from_millis(100);
+const QUEUE_DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
 /// No more connections than the system's queue has places are rejected from it.
 const MAX_REJECTED_QUEUED: usize = 1024;
 /// How much is read of what a connection has sent that is rejected there, in bytes.
@@ -28,7 +28,7 @@
 /// way, who may be about to send.
 const FORCED_EVICTION_DELAY: Duration = Duration::from_millis(5);
 /// So many of them give way at once.
-const FORCED_EVICTIONS: usize = MAX_REJECTING_CONNECTIONS / 2;
+const FORCED_EVICTION_COUNT: usize = MAX_REJECTING_CONNECTIONS / 2;
 
 /// Accepts connections and, as `phase` says, closes them as they become idle; returns when the last one is closed.
 /// Nobody is kept waiting in the system's queue, where requests may lie whose answers are pending: whom there is
@@ -51,22 +51,22 @@
             _ = phase.changed() => break,
             Some(_) = connections.join_next() => {}
             _ = overdue_check.tick() => {
-                queue.look();
+                queue.check_empty();
                 server.table.close_overdue();
-                server.statistics.log_if_full();
+                server.statistics.log_recent_if_full();
             }
             // The turns of the connections may have taken longer than the pause, and have made space.
             () = sleep(FORCED_EVICTION_DELAY), if is_full => if server.is_full() {
-                server.force_evictions(FORCED_EVICTIONS);
+                server.force_evictions(FORCED_EVICTION_COUNT);
             },
             accepted = queue.accept(), if !is_full => match accepted {
                 Ok(stream) => {
                     server.statistics.record_accepted();
                     // Without a pause, so that none waits in the system's queue for the turns of others.
-                    let is_past_limit = !server.has_space();
+                    let is_over_limit = !server.has_space();
                     let waiting_since = queue.waiting_since();
                     let connection =
-                        AcceptedConnection::new(server.clone(), stream, is_past_limit, waiting_since);
+                        AcceptedConnection::new(server.clone(), stream, is_over_limit, waiting_since);
                     connections.spawn_local(connection.serve(connection_phase.clone()));
                 }
                 // No error ends the loop, out of descriptors or other: clients are waiting, and what is short
@@ -82,7 +82,7 @@
     if *phase.borrow() == ListenerPhase::HandedOver {
         server.is_handed_over.set(true);
     }
-    take_queued(&server, queue, &mut connections, &connection_phase).await;
+    accept_queued(&server, queue, &mut connections, &connection_phase).await;
     wait_for_close(&server, connections, overdue_check).await;
 }
 
@@ -100,7 +100,7 @@
 
 /// Takes the connections that wait at a listener, and closes it. Clients wait there of which the program was not notified
 /// yet; closed over them it would reset them. Past the descriptors others have to give way first, as for any that comes.
-async fn take_queued(
+async fn accept_queued(
     server: &Rc<Server>,
     queue: AcceptQueue,
     connections: &mut JoinSet<()>,
@@ -109,11 +109,11 @@
     // The reactor knows only what it was told when it last looked: the system is asked until it says no.
     let waiting_since = queue.waiting_since();
     let Ok(listener) = queue.into_std() else { return };
-    let take_until = Instant::now() + QUEUE_LIMIT;
-    while Instant::now() < take_until {
+    let give_up_at = Instant::now() + QUEUE_DRAIN_TIMEOUT;
+    while Instant::now() < give_up_at {
         while connections.try_join_next().is_some() {}
         if server.is_full() {
-            server.force_evictions(FORCED_EVICTIONS);
+            server.force_evictions(FORCED_EVICTION_COUNT);
             sleep(FORCED_EVICTION_DELAY).await;
             continue;
         }
--- a/crates/proxy/src/downstream/request_body.rs
+++ b/crates/proxy/src/downstream/request_body.rs
@@ -1,6 +1,6 @@
 //! Bodies of requests: how long they may take, buffered or streamed through.
 
-use super::connection_table::{ARRIVAL_TIMEOUT, ConnectionState, RequestIdGuard};
+use super::connection_table::{ConnectionState, REQUEST_READ_TIMEOUT, RequestIdGuard};
 use crate::transport::{FrameSender, MAX_BODY_BYTES, UploadStatus};
 use crate::upstream::MAX_BUFFERED_BODY_BYTES;
 use bytes::{Bytes, BytesMut};
@@ -13,16 +13,16 @@
 use tokio::time::{Instant, timeout};
 
 /// A body may be waited for as long as its head, at least for so long after it ...
-const MIN_BODY_TIME: Duration = Duration::from_millis(400);
+const MIN_BODY_READ_TIME: Duration = Duration::from_millis(400);
 /// ... and so much longer as what has come of it takes at the slowest rate that clients have, less a quarter ...
-const MIN_BYTES_PER_S: f64 = 48_000.0;
+const MIN_BODY_BYTES_PER_S: f64 = 48_000.0;
 /// ... but not in a silence of this.
-const MAX_SILENCE: Duration = Duration::from_secs(2);
+const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How much longer than its client timeout a request may last whose body is streamed through.
 pub(super) fn body_extension(length: Option<u64>) -> Duration {
     let bytes = length.unwrap_or(MAX_BODY_BYTES) as f64;
-    Duration::from_secs_f64(bytes / MIN_BYTES_PER_S) + ARRIVAL_TIMEOUT
+    Duration::from_secs_f64(bytes / MIN_BODY_BYTES_PER_S) + REQUEST_READ_TIMEOUT
 }
 
 /// How long a body may still be waited for. What is waited for on the other side, which takes it, does not count.
@@ -32,22 +32,24 @@
 
 impl BodyReadDeadline {
     /// For a body whose head has just come, of a request that was begun earlier.
-    pub(super) fn new(begun_at: Instant) -> Self {
-        BodyReadDeadline { remaining: ARRIVAL_TIMEOUT.saturating_sub(begun_at.elapsed()).max(MIN_BODY_TIME) }
+    pub(super) fn new(started_at: Instant) -> Self {
+        BodyReadDeadline {
+            remaining: REQUEST_READ_TIMEOUT.saturating_sub(started_at.elapsed()).max(MIN_BODY_READ_TIME),
+        }
     }
 
     /// The next piece of the body that holds data; nothing at its end.
     async fn next_data(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, StatusCode> {
         loop {
             let asked_at = Instant::now();
-            let frame = timeout(self.remaining.min(MAX_SILENCE), body.frame()).await;
+            let frame = timeout(self.remaining.min(BODY_IDLE_TIMEOUT), body.frame()).await;
             let frame = frame.map_err(|_| StatusCode::REQUEST_TIMEOUT)?;
             let Some(frame) = frame else { return Ok(None) };
             // Trailers are left out.
             let data = frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data().unwrap_or_default();
             self.remaining = self.remaining.saturating_sub(asked_at.elapsed());
             if !data.is_empty() {
-                self.remaining += Duration::from_secs_f64(data.len() as f64 / MIN_BYTES_PER_S);
+                self.remaining += Duration::from_secs_f64(data.len() as f64 / MIN_BODY_BYTES_PER_S);
                 return Ok(Some(data));
             }
         }
@@ -70,16 +72,16 @@
     max_buffered_bytes: usize,
 ) -> Result<BufferedBody, StatusCode> {
     let mut data = BytesMut::new();
-    let mut is_long = body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
-    while !is_long {
+    let mut exceeds_buffer = body.size_hint().lower() > MAX_BUFFERED_BODY_BYTES as u64;
+    while !exceeds_buffer {
         let Some(more) = deadline.next_data(body).await? else { break };
         if !guard.reserve(more.len(), max_buffered_bytes) {
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         }
         data.extend_from_slice(&more);
-        is_long = data.len() > MAX_BUFFERED_BODY_BYTES;
+        exceeds_buffer = data.len() > MAX_BUFFERED_BODY_BYTES;
     }
-    if !is_long {
+    if !exceeds_buffer {
         return Ok(BufferedBody::Complete(data.freeze()));
     }
     if !guard.reserve(MAX_BUFFERED_BODY_BYTES.saturating_sub(data.len()), max_buffered_bytes) {
--- a/crates/proxy/src/downstream/request_parsing.rs
+++ b/crates/proxy/src/downstream/request_parsing.rs
@@ -72,8 +72,8 @@
         return Ok(0);
     }
     let owner = single_header(&head.headers, "req-owner").and_then(|owner| owner.to_str().ok());
-    let place = tenants.iter().position(|tenant| Some(tenant.as_str()) == owner);
-    Ok(place.ok_or_else(bad_request)? as u16)
+    let index = tenants.iter().position(|tenant| Some(tenant.as_str()) == owner);
+    Ok(index.ok_or_else(bad_request)? as u16)
 }
 
 fn parse_client_timeout(head: &Parts) -> Option<Duration> {
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -24,7 +24,7 @@
 
 impl ResponseBody {
     /// Keeps the guard of a streamed body for as long as that lasts; gives that of a buffered one up.
-    pub(super) fn hold(&mut self, guard: ResponseGuard) {
+    pub(super) fn hold_guard(&mut self, guard: ResponseGuard) {
         if matches!(self.content, BodyContent::Streamed(_)) {
             self.guard = Some(guard);
         }
