--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -29,7 +29,7 @@
 /// Connections at once. Whoever holds one without a complete call gives way to the next caller, the oldest first.
 pub const MAX_CONNECTIONS: usize = 8;
 /// A call must have come completely by then.
-const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest head of a call in bytes, the least that the HTTP library takes.
 const MAX_HEAD_BYTES: usize = 8192;
 /// Longest body of a call in bytes; it says nothing.
@@ -101,22 +101,22 @@
     /// Takes calls for ever.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut connections = JoinSet::new();
-        let mut by_age = VecDeque::<AbortHandle>::new();
+        let mut oldest_first = VecDeque::<AbortHandle>::new();
         loop {
             tokio::select! {
-                Some(_) = connections.join_next() => by_age.retain(|connection| !connection.is_finished()),
+                Some(_) = connections.join_next() => oldest_first.retain(|connection| !connection.is_finished()),
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => {
-                        if by_age.len() >= MAX_CONNECTIONS {
-                            close_oldest(&mut by_age);
+                        if oldest_first.len() >= MAX_CONNECTIONS {
+                            close_oldest(&mut oldest_first);
                         }
-                        by_age.push_back(connections.spawn_local(self.clone().serve_connection(stream)));
+                        oldest_first.push_back(connections.spawn_local(self.clone().serve_connection(stream)));
                         // It may hold its call already, and must not give way to the next before that is seen.
                         tokio::task::yield_now().await;
                     }
                     // Out of descriptors or other: callers are waiting, and what is short comes free again.
                     Err(_) => {
-                        close_oldest(&mut by_age);
+                        close_oldest(&mut oldest_first);
                         sleep(ACCEPT_ERROR_PAUSE).await;
                     }
                 }
@@ -126,21 +126,21 @@
 
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(async |request| {
-            let mut response = self.call(request).await;
+            let mut response = self.handle_request(request).await;
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             Ok::<_, Infallible>(response)
         });
         let mut builder = http1::Builder::new();
         let builder = builder.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
         // However it ends, the call has been answered or its caller has disconnected.
-        let _ = timeout(CALL_TIMEOUT, builder.serve_connection(TokioIo::new(stream), service)).await;
+        let _ = timeout(REQUEST_TIMEOUT, builder.serve_connection(TokioIo::new(stream), service)).await;
     }
 
-    async fn call(&self, request: Request<Incoming>) -> AdminResponse {
+    async fn handle_request(&self, request: Request<Incoming>) -> AdminResponse {
         let (head, body) = request.into_parts();
         let route = match Route::parse(&head.method, head.uri.path()) {
             Ok(route) => route,
-            Err(error) => return route_error(&error),
+            Err(error) => return route_error_response(&error),
         };
         if let Err(error) = Limited::new(body, MAX_BODY_BYTES).collect().await {
             let is_too_long = error.is::<http_body_util::LengthLimitError>();
@@ -148,18 +148,18 @@
             return text_response(status, "a call has no body");
         }
         match route {
-            Route::Ready => self.ready(),
-            Route::Settings => self.settings(),
+            Route::Ready => self.readiness_response(),
+            Route::Settings => self.settings_response(),
             Route::Discovery => json_response(self.dispatcher.discovery_json()),
             Route::SetSuspended { backend, is_suspended } => self.set_suspended(backend, is_suspended),
             Route::SetDraining { is_draining } => {
-                let what = if is_draining { "drain" } else { "activate" };
-                self.confirm(self.process_group.set_draining(is_draining), what, "proxy")
+                let action = if is_draining { "drain" } else { "activate" };
+                self.control_response(self.process_group.set_draining(is_draining), action, "proxy")
             }
         }
     }
 
-    fn ready(&self) -> AdminResponse {
+    fn readiness_response(&self) -> AdminResponse {
         if self.dispatcher.has_ready_endpoint() && self.is_serving.get() {
             text_response(StatusCode::OK, "ready")
         } else {
@@ -168,7 +168,7 @@
     }
 
     /// Which settings are in force here and in the other processes of this proxy, and the last that were rejected.
-    fn settings(&self) -> AdminResponse {
+    fn settings_response(&self) -> AdminResponse {
         self.apply_markers();
         let processes = self.process_group.versions().unwrap_or_default();
         let version = self.dispatcher.settings_version();
@@ -181,30 +181,33 @@
         let Some(name) = backend.filter(|name| self.dispatcher.knows_backend(name)) else {
             return text_response(StatusCode::NOT_FOUND, "no such backend");
         };
-        let what = if is_suspended { "suspend" } else { "resume" };
-        self.confirm(self.process_group.set_suspended(&name, is_suspended), what, &name)
+        let action = if is_suspended { "suspend" } else { "resume" };
+        self.control_response(self.process_group.set_suspended(&name, is_suspended), action, &name)
     }
 
     /// A success once the marker stands and the balancer has applied it.
-    fn confirm(&self, marked: io::Result<()>, what: &str, whom: &str) -> AdminResponse {
-        if let Err(error) = &marked {
-            log!("{what} {whom}: not done, its marker failed: {error}");
+    fn control_response(&self, marker_result: io::Result<()>, action: &str, target: &str) -> AdminResponse {
+        if let Err(error) = &marker_result {
+            log!("{action} {target}: not done, its marker failed: {error}");
         }
-        if marked.is_ok() && self.apply_markers() {
-            text_response(StatusCode::OK, &format!("{what} {whom}: done"))
+        if marker_result.is_ok() && self.apply_markers() {
+            text_response(StatusCode::OK, &format!("{action} {target}: done"))
         } else {
-            text_response(StatusCode::INTERNAL_SERVER_ERROR, &format!("{what} {whom}: not done, see the log"))
+            text_response(
+                StatusCode::INTERNAL_SERVER_ERROR,
+                &format!("{action} {target}: not done, see the log"),
+            )
         }
     }
 }
 
-fn close_oldest(by_age: &mut VecDeque<AbortHandle>) {
-    if let Some(oldest) = by_age.pop_front() {
+fn close_oldest(oldest_first: &mut VecDeque<AbortHandle>) {
+    if let Some(oldest) = oldest_first.pop_front() {
         oldest.abort();
     }
 }
 
-fn route_error(error: &RouteError) -> AdminResponse {
+fn route_error_response(error: &RouteError) -> AdminResponse {
     let RouteError::WrongMethod { allowed } = error else {
         return text_response(StatusCode::NOT_FOUND, "no such call");
     };
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -67,7 +67,7 @@
 impl ConfigError {
     /// Whether the file could not be read or is not whole, which may pass by itself. It says nothing then about what the
     /// file is to hold.
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         match self {
             ConfigError::InvalidKey(source) => source.inner().is_eof() || source.inner().is_syntax(),
             _ => self.is_unreadable(),
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -118,20 +118,20 @@
 impl FixedConfig {
     /// Checks that another configuration changes nothing that only a start can change.
     pub fn check_unchanged(&self, other: &FixedConfig) -> Result<(), ConfigError> {
-        require_same("name", self.name == other.name)?;
-        require_same("listen", self.listen == other.listen)?;
-        require_same("management", self.admin == other.admin)?;
-        require_same("limits.sockets", self.max_descriptors == other.max_descriptors)?;
-        require_same("limits.memory_mb", self.memory_bytes == other.memory_bytes)
+        require_unchanged("name", self.name == other.name)?;
+        require_unchanged("listen", self.listen == other.listen)?;
+        require_unchanged("management", self.admin == other.admin)?;
+        require_unchanged("limits.sockets", self.max_descriptors == other.max_descriptors)?;
+        require_unchanged("limits.memory_mb", self.memory_bytes == other.memory_bytes)
     }
 }
 
-fn require_same(key: &'static str, is_same: bool) -> Result<(), ConfigError> {
-    if is_same { Ok(()) } else { Err(ConfigError::NeedsRestart { key }) }
+fn require_unchanged(key: &'static str, is_unchanged: bool) -> Result<(), ConfigError> {
+    if is_unchanged { Ok(()) } else { Err(ConfigError::NeedsRestart { key }) }
 }
 
-/// The environment's addresses, where given, go before the file's; for discovery `discovery_from` says which does.
-fn read<K: DeserializeOwned>(discovery_from: Precedence) -> Result<(Config, Option<K>), ConfigError> {
+/// The environment's addresses, where given, go before the file's; for discovery `discovery_precedence` says which does.
+fn read<K: DeserializeOwned>(discovery_precedence: Precedence) -> Result<(Config, Option<K>), ConfigError> {
     let path = env::var("RELAY_CONFIG").map_err(|_| ConfigError::MissingVariable)?;
     let text = std::fs::read(&path).map_err(|source| ConfigError::Unreadable { path, source })?;
     let mut json = serde_json::Deserializer::from_slice(&text);
@@ -139,15 +139,15 @@
     let settings = settings_format::read(file.settings)?;
     check_limits(file.version, &file.limits)?;
     check_site(&settings.site)?;
-    let discovery = match discovery_from {
-        Precedence::Environment => variable("RELAY_DISCOVERY").or(file.discovery),
-        Precedence::File => file.discovery.or_else(|| variable("RELAY_DISCOVERY")),
+    let discovery = match discovery_precedence {
+        Precedence::Environment => environment_variable("RELAY_DISCOVERY").or(file.discovery),
+        Precedence::File => file.discovery.or_else(|| environment_variable("RELAY_DISCOVERY")),
     };
-    let admin = variable("RELAY_MANAGEMENT").or(file.admin);
+    let admin = environment_variable("RELAY_MANAGEMENT").or(file.admin);
     let config = Config {
         name: file.name,
         version: file.version,
-        listen: required_address("listen", variable("RELAY_LISTEN").or(file.listen))?,
+        listen: required_address("listen", environment_variable("RELAY_LISTEN").or(file.listen))?,
         admin: admin.map(|text| parse_address("management", text)).transpose()?,
         discovery: required_address("discovery", discovery)?,
         seed: u64::from_str_radix(&file.seed, 16).map_err(ConfigError::InvalidSeed)?,
@@ -158,7 +158,7 @@
     Ok((config, file.known_endpoints))
 }
 
-fn variable(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     env::var(name).ok()
 }
 
--- a/crates/proxy/src/config/reload.rs
+++ b/crates/proxy/src/config/reload.rs
@@ -30,17 +30,17 @@
 
 /// The status as the admin API answers with it.
 #[derive(Debug, Serialize)]
-struct StatusAnswer {
+struct StatusResponse {
     #[serde(rename = "applied_ms")]
     applied_at_ms: u64,
-    processes: Vec<ProcessAnswer>,
+    processes: Vec<ProcessStatus>,
     #[serde(rename = "refused")]
     last_rejection: Option<Rejection>,
     version: u64,
 }
 
 #[derive(Debug, Serialize)]
-struct ProcessAnswer {
+struct ProcessStatus {
     pid: u32,
     version: Option<u64>,
 }
@@ -57,8 +57,8 @@
         version: u64,
         processes: &BTreeMap<u32, Option<u64>>,
     ) -> Result<String, serde_json::Error> {
-        let processes = processes.iter().map(|(&pid, &version)| ProcessAnswer { pid, version });
-        serde_json::to_string(&StatusAnswer {
+        let processes = processes.iter().map(|(&pid, &version)| ProcessStatus { pid, version });
+        serde_json::to_string(&StatusResponse {
             applied_at_ms: self.applied_at_ms.get(),
             processes: processes.collect(),
             last_rejection: self.last_rejection.borrow().clone(),
@@ -89,7 +89,7 @@
     fixed: FixedConfig,
     discovery: Cell<SocketAddr>,
     /// Why the file was rejected, as logged last since the last signal.
-    logged_reason: RefCell<Option<String>>,
+    last_logged_reason: RefCell<Option<String>>,
 }
 
 impl Reloader {
@@ -102,7 +102,7 @@
     ) -> Result<Self, ConfigError> {
         dispatcher.configure(config.settings.clone(), config.version, config.content_hash())?;
         let (fixed, discovery) = (config.fixed(), Cell::new(config.discovery));
-        Ok(Reloader { dispatcher, pool, status, fixed, discovery, logged_reason: RefCell::default() })
+        Ok(Reloader { dispatcher, pool, status, fixed, discovery, last_logged_reason: RefCell::default() })
     }
 
     /// Reads the file and puts it in force. Of a file that can't be put in force nothing is, and the one before holds.
@@ -111,7 +111,7 @@
             Ok(discovery) => ReloadOutcome::Applied { discovery },
             Err(error) => {
                 self.reject(&error);
-                if error.may_pass() { ReloadOutcome::TryAgain } else { ReloadOutcome::Rejected }
+                if error.is_transient() { ReloadOutcome::TryAgain } else { ReloadOutcome::Rejected }
             }
         }
     }
@@ -119,17 +119,17 @@
     /// Notes why the file was not put in force, and logs it unless it is what the last read since the signal met.
     fn reject(&self, error: &ConfigError) {
         let reason = error.to_string();
-        let logged = self.logged_reason.replace(Some(reason.clone()));
+        let logged = self.last_logged_reason.replace(Some(reason.clone()));
         if logged.as_ref() != Some(&reason) {
-            let what_follows = if error.may_pass() { "; it is read again until it is whole" } else { "" };
-            log!("configuration rejected: {reason}{what_follows}");
+            let suffix = if error.is_transient() { "; it is read again until it is whole" } else { "" };
+            log!("configuration rejected: {reason}{suffix}");
         }
         self.status.last_rejection.replace(Some(Rejection { rejected_at_ms: unix_ms(), reason }));
     }
 
     /// Notes that a signal asks for the file.
     pub fn on_signal(&self) {
-        self.logged_reason.take();
+        self.last_logged_reason.take();
         log!("SIGHUP: the file that RELAY_CONFIG names is read again");
     }
 
@@ -158,9 +158,9 @@
         }
         log!("configuration applied, version {version}, discovery at {address}");
         // How long its watch waits follows from the drain deadline.
-        let has_other_timeouts = site.drain_deadline_ms != old.site.drain_deadline_ms;
-        let has_moved = self.discovery.replace(address) != address;
-        Ok((has_moved || has_other_timeouts).then_some(address))
+        let has_drain_deadline_changed = site.drain_deadline_ms != old.site.drain_deadline_ms;
+        let has_address_changed = self.discovery.replace(address) != address;
+        Ok((has_address_changed || has_drain_deadline_changed).then_some(address))
     }
 }
 
