--- a/crates/proxy/src/process_group/mod.rs
+++ b/crates/proxy/src/process_group/mod.rs
@@ -7,7 +7,7 @@
 mod tests;
 
 use names::FileName;
-use process_file::{ProcessFile, is_alive};
+use process_file::{ProcessFile, check_alive};
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs::{self, OpenOptions};
@@ -35,39 +35,42 @@
 /// The processes of one proxy, by the folder that they share.
 pub struct ProcessGroup {
     folder: Option<PathBuf>,
-    own: OnceCell<ProcessFile>,
+    own_file: OnceCell<ProcessFile>,
 }
 
 impl ProcessGroup {
     /// The folder below the one for temporary files. Where that is not known, no marker can be made.
-    pub fn new(temporary: Option<PathBuf>) -> Self {
-        ProcessGroup { folder: temporary.map(|folder| folder.join(names::FOLDER)), own: OnceCell::new() }
+    pub fn new(temporary_folder: Option<PathBuf>) -> Self {
+        ProcessGroup {
+            folder: temporary_folder.map(|folder| folder.join(names::FOLDER)),
+            own_file: OnceCell::new(),
+        }
     }
 
     /// From now on this process counts as one that starts.
     pub fn announce_start(&self) -> io::Result<()> {
-        if self.own.get().is_some() {
+        if self.own_file.get().is_some() {
             return Ok(());
         }
         let folder = self.folder()?;
         fs::create_dir_all(folder)?;
         // A process joins once; a second file would count as another process.
-        let _ = self.own.set(ProcessFile::create(folder)?);
+        let _ = self.own_file.set(ProcessFile::create(folder)?);
         Ok(())
     }
 
     /// From now on this process counts as one that serves.
     pub fn join(&self) -> io::Result<()> {
         self.announce_start()?;
-        match self.own.get() {
-            Some(own) => own.show_serving(self.folder()?),
+        match self.own_file.get() {
+            Some(own) => own.mark_serving(self.folder()?),
             None => Ok(()),
         }
     }
 
     /// Tells the other processes which version of the settings is in force in this one.
     pub fn publish_version(&self, version: u64) -> io::Result<()> {
-        match self.own.get() {
+        match self.own_file.get() {
             Some(own) => own.publish_version(version),
             None => Ok(()),
         }
@@ -80,7 +83,7 @@
             let entry = entry?;
             let name = entry.file_name();
             let Some(FileName::Process { id: Some(id) }) = FileName::parse(&name) else { continue };
-            if self.is_own(&name) || is_alive(&entry.path()) {
+            if self.is_own(&name) || check_alive(&entry.path()) {
                 versions.insert(id, process_file::read_version(&entry.path()));
             }
         }
@@ -113,8 +116,10 @@
                 Some(FileName::Suspended { backend }) => {
                     state.suspended.insert(backend);
                 }
-                Some(FileName::Process { .. }) if self.is_other_alive(&entry) => state.other_processes += 1,
-                Some(FileName::Starting) if self.is_other_alive(&entry) => state.starting_processes += 1,
+                Some(FileName::Process { .. }) if self.check_other_alive(&entry) => {
+                    state.other_processes += 1
+                }
+                Some(FileName::Starting) if self.check_other_alive(&entry) => state.starting_processes += 1,
                 Some(FileName::Process { .. } | FileName::Starting) | None => {}
             }
         }
@@ -122,12 +127,12 @@
     }
 
     /// Whether a file is that of another process, which lives.
-    fn is_other_alive(&self, entry: &fs::DirEntry) -> bool {
-        !self.is_own(&entry.file_name()) && is_alive(&entry.path())
+    fn check_other_alive(&self, entry: &fs::DirEntry) -> bool {
+        !self.is_own(&entry.file_name()) && check_alive(&entry.path())
     }
 
     fn is_own(&self, name: &std::ffi::OsStr) -> bool {
-        self.own.get().is_some_and(|own| name == own.name().as_str())
+        self.own_file.get().is_some_and(|own| name == own.name().as_str())
     }
 
     fn folder(&self) -> io::Result<&Path> {
--- a/crates/proxy/src/process_group/process_file.rs
+++ b/crates/proxy/src/process_group/process_file.rs
@@ -33,7 +33,7 @@
     }
 
     /// Shows in the shared folder that the process serves from now on.
-    pub(super) fn show_serving(&self, folder: &Path) -> io::Result<()> {
+    pub(super) fn mark_serving(&self, folder: &Path) -> io::Result<()> {
         if !self.is_serving.get() {
             fs::rename(folder.join(names::starting(&self.name)), folder.join(&self.name))?;
             self.is_serving.set(true);
@@ -62,7 +62,7 @@
 }
 
 /// Whether somebody holds the lock on a process's file. What a process that has ended left behind is removed.
-pub(super) fn is_alive(path: &Path) -> bool {
+pub(super) fn check_alive(path: &Path) -> bool {
     let Ok(file) = File::open(path) else { return false };
     match file.try_lock_shared() {
         Err(TryLockError::WouldBlock) => true,
--- a/crates/proxy/src/process_group/tests.rs
+++ b/crates/proxy/src/process_group/tests.rs
@@ -4,25 +4,25 @@
 use super::*;
 
 /// A folder of its own, removed at the end.
-struct Folder(PathBuf);
+struct TestFolder(PathBuf);
 
-impl Folder {
+impl TestFolder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("foldhitch-test-{name}-{}", std::process::id()));
         fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        TestFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
 #[test]
-fn markers_are_made_and_removed_once_or_twice_and_every_process_sees_them() {
-    let folder = Folder::new("markers");
+fn markers_are_idempotent_and_seen_by_every_process() {
+    let folder = TestFolder::new("markers");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
     assert_eq!(one.control_state().expect("readable"), ControlState::default());
     one.set_suspended("../s-1/é", false).expect("there is none");
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn processes_that_live_see_each_other_and_what_the_dead_left_is_removed() {
-    let folder = Folder::new("live");
+fn live_processes_are_counted_and_stale_files_removed() {
+    let folder = TestFolder::new("live");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
     let others = |group: &ProcessGroup| group.control_state().expect("readable").other_processes;
     assert_eq!((others(&one), others(&other)), (0, 0));
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn a_process_that_starts_is_seen_and_is_no_process_that_serves() {
-    let folder = Folder::new("starting");
+fn starting_process_is_not_counted_as_serving() {
+    let folder = TestFolder::new("starting");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
     let others = |group: &ProcessGroup| {
         let state = group.control_state().expect("readable");
@@ -78,8 +78,8 @@
 }
 
 #[test]
-fn processes_that_live_see_the_versions_that_they_published() {
-    let folder = Folder::new("versions");
+fn live_processes_see_published_versions() {
+    let folder = TestFolder::new("versions");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
     one.publish_version(7).expect("there is no file yet");
     one.join().expect("writable");
@@ -95,8 +95,8 @@
 }
 
 #[test]
-fn what_is_no_marker_is_ignored_and_what_fails_is_an_error() {
-    let folder = Folder::new("odd");
+fn unknown_files_are_ignored_and_io_errors_returned() {
+    let folder = TestFolder::new("odd");
     let group = ProcessGroup::new(Some(folder.0.clone()));
     group.set_suspended("s-1", true).expect("writable");
     for odd in
@@ -113,8 +113,8 @@
 
 /// A folder as every version up to now has written it: other versions run beside this one.
 #[test]
-fn a_folder_written_by_another_version_is_read() {
-    let folder = Folder::new("versions-beside");
+fn folder_written_by_another_version_is_read() {
+    let folder = TestFolder::new("versions-beside");
     let shared = folder.0.join("heathroad");
     fs::create_dir_all(&shared).expect("a folder");
     fs::write(shared.join("drain"), "").expect("writable");
@@ -137,8 +137,8 @@
 
 /// The other way round: what this version writes has the names and contents that others read.
 #[test]
-fn a_folder_is_written_as_other_versions_read_it() {
-    let folder = Folder::new("written-for-others");
+fn written_folder_is_readable_by_other_versions() {
+    let folder = TestFolder::new("written-for-others");
     let group = ProcessGroup::new(Some(folder.0.clone()));
     group.set_suspended("s-1", true).expect("writable");
     group.set_draining(true).expect("writable");
