--- a/crates/proxy/src/downstream/accept_queue.rs
+++ b/crates/proxy/src/downstream/accept_queue.rs
@@ -1,4 +1,4 @@
-//! The system's queue of connections that wait to be accepted, and since when they may have waited.
+//! The kernel's accept queue, and a lower bound for when its connections arrived.
 
 use crate::transport::stamp_arrivals;
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
@@ -11,18 +11,19 @@
 use tokio::task::coop::has_budget_remaining;
 use tokio::time::Instant;
 
-/// The queue of a listener.
+/// The accept queue of a listening socket.
 pub(super) struct AcceptQueue {
     listener: TcpListener,
     has_arrival_timestamps: bool,
-    /// Whether the next accept asks the system, and not only the reactor, which knows what it saw when it last looked.
+    /// Whether the next accept makes a system call. Otherwise it reads only the readiness that the reactor
+    /// cached at its last poll.
     queries_kernel: Cell<bool>,
-    /// When the queue was last known to be empty.
+    /// When the queue was last seen empty.
     last_empty_at: Cell<Instant>,
 }
 
 impl AcceptQueue {
-    /// The queue of a listener that has just been made.
+    /// Creates the accept queue of a listener that has just been bound, and enables receive timestamps on it.
     pub(super) fn new(listener: TcpListener) -> Self {
         AcceptQueue {
             has_arrival_timestamps: stamp_arrivals(&listener),
@@ -32,13 +33,13 @@
         }
     }
 
-    /// Takes the first connection out of the queue.
+    /// Accepts the first connection in the queue.
     pub(super) async fn accept(&self) -> io::Result<TcpStream> {
         poll_fn(|context| self.poll_accept(context)).await
     }
 
     fn poll_accept(&self, context: &mut Context<'_>) -> Poll<io::Result<TcpStream>> {
-        // A task that has had its turn is told that there is nothing, whatever there is.
+        // A task that has used up its cooperative budget gets `Pending` even if a connection is waiting.
         let has_budget = has_budget_remaining();
         let accepted = self.listener.poll_accept(context);
         if accepted.is_ready() {
@@ -49,7 +50,7 @@
         accepted.map_ok(|(stream, _)| stream)
     }
 
-    /// Asks the system whether the queue is empty.
+    /// Polls the listening socket, and records the time if the queue is empty.
     pub(super) fn check_empty(&self) {
         let mut descriptors = [PollFd::new(self.listener.as_fd(), PollFlags::POLLIN)];
         if poll(&mut descriptors, PollTimeout::ZERO) == Ok(0) {
@@ -57,13 +58,13 @@
         }
     }
 
-    /// Since when the connections in the queue may have waited there; none where the system doesn't note when bytes
-    /// come.
+    /// Returns the earliest time at which a connection in the queue can have arrived, or `None` if the system
+    /// does not timestamp received bytes.
     pub(super) fn waiting_since(&self) -> Option<Instant> {
         if self.has_arrival_timestamps { Some(self.last_empty_at.get()) } else { None }
     }
 
-    /// The listener, to be asked without the reactor.
+    /// Returns the listener, to be used without the reactor.
     pub(super) fn into_std(self) -> io::Result<std::net::TcpListener> {
         self.listener.into_std()
     }
--- a/crates/proxy/src/downstream/accept_statistics.rs
+++ b/crates/proxy/src/downstream/accept_statistics.rs
@@ -1,4 +1,4 @@
-//! What becomes of connections while there is no space: counts for the log.
+//! Counts of accepted, evicted and rejected connections, logged while the connection limit is reached.
 
 use super::connection_table::IdleKind;
 use crate::log::log;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// While there is no space, a line is logged so often at the most.
+/// Minimum interval between two log lines about the connection limit.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What became of connections.
+/// Counts of what happened to client connections and their requests.
 #[derive(Debug, Clone, Copy, Default)]
 struct AcceptCounts {
     accepted: u64,
@@ -19,9 +19,9 @@
     evicted_rejected: u64,
     evicted_served: u64,
     evicted_arriving: u64,
-    /// Connections that were to give way and stayed, since a request was on its way.
+    /// Connections that were chosen for eviction and kept because a request was arriving on them.
     kept: u64,
-    /// Requests that were rejected for want of space.
+    /// Requests that were rejected because too many were in flight.
     rejected: u64,
     errors: u64,
     longest_without_accept: Duration,
@@ -52,25 +52,28 @@
 impl fmt::Display for AcceptCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} accepted, {} evicted", self.accepted, self.evicted())?;
-        write!(formatter, " ({} closing, {} late,", self.evicted_closing, self.evicted_stalled)?;
-        write!(formatter, " {} rejected before, {} idle,", self.evicted_rejected, self.evicted_served)?;
-        write!(formatter, " {} arriving),", self.evicted_arriving)?;
-        write!(formatter, " {} kept with a request on its way,", self.kept)?;
+        write!(formatter, " ({} closing, {} stalled,", self.evicted_closing, self.evicted_stalled)?;
+        write!(formatter, " {} rejected earlier, {} idle,", self.evicted_rejected, self.evicted_served)?;
+        write!(formatter, " {} new or sending),", self.evicted_arriving)?;
+        write!(formatter, " {} kept because a request was arriving,", self.kept)?;
         write!(formatter, " {} requests rejected, {} errors,", self.rejected, self.errors)?;
-        write!(formatter, " longest without an accept {} ms", self.longest_without_accept.as_millis())
+        write!(formatter, " longest time without an accept {} ms", self.longest_without_accept.as_millis())
     }
 }
 
-/// Counts what becomes of connections, and logs it while there is no space and at the end.
+/// Counts what happens to client connections. Logs the counts while the connection limit is reached, and at
+/// the end.
 #[derive(Default)]
 pub(super) struct AcceptStatistics {
-    /// Since the last line.
+    /// Counts since the last log line.
     recent: Cell<AcceptCounts>,
+    /// Counts up to the last log line.
     total: Cell<AcceptCounts>,
-    /// Whether there was no space at some time since the last line.
+    /// Whether the connection limit was reached since the last log line.
     was_full: Cell<bool>,
+    /// When the last line was logged.
     logged_at: Cell<Option<Instant>>,
-    /// Since when nothing is accepted for want of space.
+    /// Since when no connection can be accepted because the limit is reached.
     blocked_since: Cell<Option<Instant>>,
 }
 
@@ -80,7 +83,7 @@
         self.count(|counts| counts.accepted += 1);
     }
 
-    /// There was no space without an eviction.
+    /// Counts an evicted connection. An eviction implies that the limit was reached.
     pub(super) fn record_evicted(&self, kind: IdleKind) {
         self.was_full.set(true);
         self.count(|counts| match kind {
@@ -106,14 +109,15 @@
         self.count(|counts| counts.errors += 1);
     }
 
-    /// Nothing is accepted now for want of space.
+    /// Records that no connection can be accepted now because the limit is reached.
     pub(super) fn record_blocked(&self) {
         self.was_full.set(true);
         let since = self.blocked_since.get().unwrap_or_else(Instant::now);
         self.blocked_since.set(Some(since));
     }
 
-    /// Logs what was counted since the last line, if that is long enough ago and there was no space since then.
+    /// Logs the counts since the last line, if [`LOG_INTERVAL`] has passed and the limit was reached since
+    /// then.
     pub(super) fn log_recent_if_full(&self) {
         let is_due = self.logged_at.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL);
         if !is_due || !self.was_full.replace(false) {
@@ -126,13 +130,13 @@
         log!("no space for clients: {recent}");
     }
 
-    /// Logs what was counted in all, if there ever was no space.
+    /// Logs the total counts, if the limit was ever reached.
     pub(super) fn log_total(&self) {
         self.end_blocked_interval();
         let was_full = self.was_full.get() || self.logged_at.get().is_some();
         self.accumulate(self.recent.take());
         if was_full {
-            log!("no space for clients, in all: {}", self.total.get());
+            log!("no space for clients, total: {}", self.total.get());
         }
     }
 
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: its requests, one after the other, and its close.
+//! A client connection: serves its requests in order, and closes it.
 
 use super::connection_table::{
     ConnectionGuard, ConnectionState, InFlightGuard, RequestIdGuard, RequestPhase, ResponseGuard,
@@ -39,38 +39,38 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep};
 
-/// When the proxy drains, connections still idle are closed after this: clients go on sending new requests for up to
-/// 0.3 s, and what crosses a close would have to come again.
+/// Time from the start of a drain until idle connections are closed. Clients keep sending new requests for up
+/// to 0.3 s, and a request that crosses a close would have to be sent again.
 const DRAIN_CLOSE_DELAY: Duration = Duration::from_millis(1200);
-/// Share of the connections that clients may fill with requests who have not been served on their connection yet: a
-/// burst of worthless requests must leave some for the others.
+/// The fraction of the connection limit up to which requests are accepted on connections that have not been
+/// served yet. A burst of requests that are not worth serving must leave room for the other clients.
 const MAX_UNSERVED_FRACTION: f64 = 0.75;
 
-/// A connection that was accepted.
+/// An accepted connection, as its requests see it.
 pub(super) struct ClientConnection {
     server: Rc<Server>,
     socket: ClientSocket,
     state: Rc<ConnectionState>,
-    /// It was accepted past the limit: its next answer is its last.
+    /// Whether it was accepted over the connection limit: it is closed after its next answer.
     is_over_limit: Cell<bool>,
 }
 
-/// When a request began, and when its head had come.
+/// When a request started, and when its head was received.
 #[derive(Clone, Copy)]
 struct RequestTimes {
     started_at: Instant,
     received_at: Instant,
 }
 
-/// What has come of a request's body once it is taken.
+/// What was read of a request body before the request is dispatched.
 enum ReceivedBody {
-    /// All of it.
+    /// The whole body.
     Complete(Bytes),
-    /// The first of one that is too long to be buffered.
+    /// The beginning of a body that is too long to be buffered.
     Partial { first: Bytes, rest: Incoming, deadline: BodyReadDeadline },
 }
 
-/// A connection that was accepted and is in the table.
+/// An accepted connection that is registered in the connection table.
 pub(super) struct AcceptedConnection {
     connection: ClientConnection,
     stream: ObservedStream<ClientSocket>,
@@ -79,8 +79,8 @@
 }
 
 impl AcceptedConnection {
-    /// Takes a connection into the table. It may have waited in the system's queue since a time, as far as that is
-    /// known.
+    /// Registers a connection in the connection table. `waiting_since` is the earliest time at which it can
+    /// have entered the accept queue, if that is known.
     pub(super) fn new(
         server: Rc<Server>,
         stream: TcpStream,
@@ -117,7 +117,7 @@
 }
 
 impl ClientConnection {
-    /// Serves requests until the connection is to be closed. Tells whether something may still come on it.
+    /// Serves requests until the connection is to be closed. Returns whether the client may still send on it.
     async fn serve(
         &self,
         stream: ObservedStream<ClientSocket>,
@@ -140,13 +140,14 @@
             }
         });
         loop {
-            // What has been read is looked at first, and what the system holds is asked for last: a request may have
-            // come in the same moment as the reason to close its connection. Of what it has read in one the HTTP library
-            // takes only some in a turn; it waits for more once it has taken all.
+            // Buffered data is processed first, and the kernel's receive buffer is checked last before a
+            // close, because a request may arrive at the same moment as the reason to close. The HTTP library
+            // processes only a part of one read per poll; it waits for more data once it has processed all of
+            // it.
             tokio::select! {
                 biased;
                 _ = connection.as_mut() => return true,
-                // Its request, if any, learns of it as it is dropped.
+                // Dropping the connection cancels its request, if there is one.
                 () = disconnected.as_mut() => return true,
                 () = state.close_request.notified() => {
                     state.is_close_requested.set(false);
@@ -157,41 +158,47 @@
                         self.reject_if_unanswered();
                         return !state.was_answered.get() && !self.server.is_full();
                     }
-                    // A client that sends again at once is never idle: were it to stay, it would hold its place for ever.
+                    // Closes after the answer instead: a client that always sends the next request at once is
+                    // never idle, and would hold its connection forever.
                     state.closes_after_answer.set(true);
                     self.server.statistics.record_kept();
                 }
-                () = idle_close_due.as_mut(), if !state.closes_after_answer.get() => state.closes_after_answer.set(true),
+                () = idle_close_due.as_mut(), if !state.closes_after_answer.get() => {
+                    state.closes_after_answer.set(true);
+                }
                 () = self.idle_before_close() => {
                     if !self.socket.has_unread() {
                         self.reject_if_unanswered();
                         return true;
                     }
-                    // The reactor is about to tell of it.
+                    // The reactor is about to report the unread bytes.
                     yield_now().await;
                 }
             }
         }
     }
 
-    /// On a connection that ends before its first answer: a request that is on its way has its answer already when it
-    /// comes. On one that was used a request that crosses the close may be sent again.
+    /// Sends a rejection on a connection that is closed before its first answer, so that a request that is
+    /// still in transit finds its answer. On a connection that had an answer, the client may retry a request
+    /// that crosses the close.
     fn reject_if_unanswered(&self) {
         if !self.state.was_answered.get() {
             self.socket.send_last(&rejected_response_bytes(self.server.retry_after()));
         }
     }
 
-    /// Ready, whenever it is polled, if the connection is to end and nothing of a request has come.
+    /// Waits until the connection is to be closed and no byte of a request has arrived. Registers no waker:
+    /// it is evaluated whenever the connection's task is polled.
     async fn idle_before_close(&self) {
         let can_close = || self.state.closes_after_answer.get() && self.state.is_idle();
         poll_fn(|_| if can_close() { Poll::Ready(()) } else { Poll::Pending }).await;
     }
 
-    /// Comes back once the proxy has been draining for so long that idle connections are to be closed.
+    /// Waits until the proxy has been draining for [`DRAIN_CLOSE_DELAY`], after which idle connections are
+    /// closed.
     async fn drain_close_due(&self) {
         let mut draining = self.server.dispatcher.draining();
-        // The dispatcher outlives its connections, so that no wait here fails.
+        // The dispatcher outlives its connections, so no wait here fails.
         while draining.wait_for(|is_draining| *is_draining).await.is_ok() {
             tokio::select! {
                 () = sleep(DRAIN_CLOSE_DELAY) => return,
@@ -228,8 +235,8 @@
         response
     }
 
-    /// When the present request began, and when its head had come. A request that came behind another has waited for
-    /// its turn since it was read.
+    /// Returns when the current request started and when its head was received. A pipelined request has
+    /// waited since it was read.
     fn request_times(&self) -> RequestTimes {
         let progress = &self.state.progress;
         let received_at = progress.last_byte_at().unwrap_or_else(Instant::now);
@@ -259,7 +266,7 @@
         answer_response(answer)
     }
 
-    /// Whether an answer is to be the last on this connection.
+    /// Returns whether the connection is to be closed after the current answer.
     fn should_close_after_answer(&self) -> bool {
         self.is_over_limit.get()
             || self.state.closes_after_answer.get()
@@ -267,9 +274,10 @@
             || self.server.is_handed_over.get()
     }
 
-    /// Whether there is no space for one more request. Idle clients hold connections too: what is rejected is work
-    /// past what can be carried. Whoever was to give way and sent just then stays, so that there may be more clients
-    /// than connections: where all of them had work, nobody could be accepted any more to be rejected at once.
+    /// Returns whether there are too many requests in flight for another one. Idle connections don't count:
+    /// only work beyond the capacity is rejected. A connection that sends a request just as it is evicted
+    /// stays open, so there may be more connections than the limit; if all of them had a request in flight,
+    /// no connection could be accepted any more, not even to be rejected at once.
     fn is_overloaded(&self) -> bool {
         let in_flight = self.server.table.in_flight();
         let limit = self.server.limits.get().max_connections;
@@ -277,7 +285,8 @@
         in_flight >= limit || !self.state.was_served.get() && in_flight >= unserved_limit
     }
 
-    /// Reads a request completely, or says what is wrong with it.
+    /// Reads and validates a request: its head, and its body as far as that is buffered. Returns the error
+    /// response if it is not accepted.
     async fn read_request(
         &self,
         request: Request<Incoming>,
@@ -289,7 +298,8 @@
         let has_body = !body.is_end_stream();
         let settings = self.server.dispatcher.settings();
         let mut parsed = parse_head(&settings, &head, has_body)?;
-        // Of two requests with one id only the first can be told from its repeat.
+        // A second open request with the same id could not be told from a repeat of the first, so it is
+        // rejected.
         let guard = RequestIdGuard::new(&self.server.table, &parsed.id);
         let mut guard = guard.ok_or_else(|| Box::new(empty_response(StatusCode::CONFLICT)))?;
         let uri = head.uri.path_and_query().cloned().map(Uri::from).ok_or_else(bad_request)?;
@@ -297,7 +307,8 @@
             return Err(Box::new(closing_response(StatusCode::PAYLOAD_TOO_LARGE)));
         }
         let body = self.read_body(&head, &parsed, body, times, &mut guard).await?;
-        // The settings may have changed while its body came: it is taken, now, under those in force, or not at all.
+        // The settings may have changed while the body was read: the request is accepted under those now in
+        // force, or rejected.
         let settings_in_force = self.server.dispatcher.settings();
         if !Rc::ptr_eq(&settings, &settings_in_force) {
             let current = parse_head(&settings_in_force, &head, has_body)?;
@@ -313,7 +324,7 @@
             idempotency_key: parsed.idempotency_key,
             body: payload,
         };
-        // A request's time counts from its last byte.
+        // A request's deadline counts from its last byte.
         let last_byte_at = self.state.progress.last_byte_at();
         let incoming = IncomingRequest {
             request,
@@ -328,7 +339,8 @@
         Ok((incoming, guard))
     }
 
-    /// Checks how the body of this length, if that is known, is framed, and notes where the next head begins.
+    /// Checks the framing of a body, and records where the next head begins. `length` is the body's length,
+    /// if it is known.
     fn check_body_framing(&self, head: &Parts, length: Option<u64>) -> Result<(), Rejection> {
         let progress = &self.state.progress;
         let raw_head = progress.take_head();
@@ -341,7 +353,7 @@
         Rc::new(move || liveness.is_connected())
     }
 
-    /// Reads a body as far as it is buffered.
+    /// Reads a body up to the limit of buffered bodies.
     async fn read_body(
         &self,
         head: &Parts,
@@ -367,8 +379,8 @@
         }
     }
 
-    /// What is sent as the body, which is streamed if it is too long to be buffered; and how much longer than the
-    /// client's timeout that may take.
+    /// Returns the payload to send to the backend, and how much longer than the client timeout sending it may
+    /// take. A body that is too long to be buffered is streamed.
     fn request_payload(
         &self,
         body: ReceivedBody,
@@ -386,7 +398,8 @@
         (RequestPayload::Streamed(Rc::new(upload)), body_extension(length))
     }
 
-    /// Reads on a body that is not taken, where it is written still: the client would not get to see its answer.
+    /// Reads and discards the rest of a rejected body. A client that is still writing would otherwise not see
+    /// its answer.
     fn discard_body(&self, parsed: &ParsedHead, body: Incoming, deadline: BodyReadDeadline) {
         let (frames, upload) = StreamedUpload::new(None, parsed.client_timeout);
         let (status, connection) = (upload.status().clone(), self.state.clone());
--- a/crates/proxy/src/downstream/connection_table.rs
+++ b/crates/proxy/src/downstream/connection_table.rs
@@ -1,4 +1,4 @@
-//! The clients' connections, what each is doing, and which can give way to another.
+//! The table of client connections: the state of each, and which of them to evict for another.
 
 use crate::transport::{ClientLiveness, StreamProgress};
 use hyper::header::HeaderValue;
@@ -9,81 +9,83 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A head must have come completely so long after its first byte, a connection's first head so long after the
-/// connect: clients may take [`MAX_CLIENT_HEAD_TIME`] for it, and who sends nothing, or sends for ever, is to get an answer or
-/// a close within 3 s.
+/// Time limit for receiving a complete head: from its first byte, or from the connect for the first head of a
+/// connection. Clients may take [`MAX_CLIENT_HEAD_TIME`]; a client that sends nothing or never completes its
+/// head must get an answer or a close within 3 s.
 pub(super) const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
-/// So long a client may take for its head.
+/// The time that a client may take to send its head.
 const MAX_CLIENT_HEAD_TIME: Duration = Duration::from_secs(2);
-/// The first request of a client may come so long after its connect.
+/// The time that a client may take from its connect to the first byte of its first request.
 const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(500);
-/// So many connections whose request is on its way are expected at once; more of them are a crowd.
+/// The number of new or sending connections that is usual at one time. More of them count as a burst.
 const MAX_EXPECTED_ARRIVALS: usize = 4;
-/// A connection may be idle so long between requests, while there is space for others.
+/// The time that a connection may be idle between requests while the connection limit is not reached.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a place is needed for.
+/// The reason for an eviction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum EvictionPurpose {
-    /// A connection that comes: only who need not stay gives way.
+    /// A new connection needs room. Only connections that can be closed without harm are evicted.
     NewConnection,
-    /// A connection that was served and would have to close: one of a crowd gives way, too.
+    /// A connection over the limit was served and is to be kept. In a burst, a new connection may be evicted
+    /// too.
     ServedConnection,
-    /// Nothing can be accepted: whoever can be closed without loss gives way.
+    /// No connection can be accepted. Any connection that can be closed without loss may be evicted.
     BlockedListener,
 }
 
-/// What a connection without a request has done so far.
+/// The kind of a connection that has no request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum IdleKind {
-    /// It is closing anyway.
+    /// It is being closed already.
     Closing,
-    /// It has had the time for its first byte, or for its head.
+    /// Its time for the first byte or for the head has run out.
     Stalled,
-    /// It was rejected before, and sends nothing.
+    /// Its earlier requests were answered but never served, and it sends nothing.
     Rejected,
-    /// It was served before, and sends nothing.
+    /// An earlier request was served, and it sends nothing.
     Served,
-    /// It came lately and has sent nothing: its request may be on its way.
+    /// It has just connected and sent nothing yet: its request may be in transit.
     New,
-    /// It sends a head or a body, within the time for that.
+    /// It is sending a head or a body within the time allowed for it.
     Sending,
 }
 
-/// What has become of a connection's present request.
+/// The phase of a connection's current request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestPhase {
-    /// There is none, or its head has not come completely.
+    /// There is no request, or its head is not complete.
     Idle,
     /// Its body is being read.
     ReadingBody,
-    /// Its answer is pending.
+    /// The request was dispatched, and its answer is pending.
     InFlight,
-    /// There will be none: the connection is closed, but for what is still read on it.
+    /// There will be no further request: the connection is in its lingering close.
     Closing,
 }
 
-/// A client's connection.
+/// The state of a client connection.
 pub(super) struct ConnectionState {
     pub(super) phase: Cell<RequestPhase>,
-    /// A streamed body is still being read, be its request answered or not.
+    /// Whether a streamed body is still being read, whether or not its request was answered.
     pub(super) is_reading_body: Cell<bool>,
-    /// When it connected, or had its last answer.
+    /// When the client connected, or when its last answer ended.
     pub(super) last_active_at: Cell<Instant>,
-    /// It has had an answer of some kind.
+    /// Whether any request was answered.
     pub(super) was_answered: Cell<bool>,
-    /// It was served with a backend's response.
+    /// Whether any request was answered with a backend's response.
     pub(super) was_served: Cell<bool>,
     pub(super) progress: Rc<StreamProgress>,
     pub(super) liveness: ClientLiveness,
-    /// Its next answer is the last one.
+    /// Whether the connection is to be closed after its next answer.
     pub(super) closes_after_answer: Cell<bool>,
+    /// Whether a close was requested that the connection's task has not handled yet.
     pub(super) is_close_requested: Cell<bool>,
     pub(super) close_request: Notify,
 }
 
 impl ConnectionState {
-    /// Whether closing the connection takes away nothing that was accepted or answered.
+    /// Returns whether the connection can be closed without losing an accepted request or an answer.
     pub(super) fn can_be_closed(&self) -> bool {
         self.phase.get() != RequestPhase::InFlight
             && !self.is_reading_body.get()
@@ -91,13 +93,14 @@
             && !self.is_close_requested.get()
     }
 
-    /// Whether a body is still being read whose end is seen only by the HTTP library: the head behind it could not be
-    /// told from it.
+    /// Returns whether a body is still being read whose end only the HTTP library can determine. The next
+    /// head could not be separated from such a body.
     pub(super) fn is_next_head_uncertain(&self) -> bool {
         self.is_reading_body.get() && !self.progress.is_body_end_known()
     }
 
-    /// Whether the connection may be asked to give way to another; not again if it was asked before.
+    /// Returns whether the connection may be evicted. A connection that was asked to close before is not
+    /// asked again.
     fn can_be_evicted(&self) -> bool {
         let is_close_announced = self.closes_after_answer.get() && self.phase.get() != RequestPhase::Closing;
         self.can_be_closed() && !is_close_announced
@@ -107,7 +110,7 @@
         if self.phase.get() == RequestPhase::Closing {
             return IdleKind::Closing;
         }
-        // Whoever reads the body ends it when its time is over.
+        // The task that reads the body enforces its deadline.
         if self.phase.get() == RequestPhase::ReadingBody {
             return IdleKind::Sending;
         }
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Whether nothing of a request has come.
+    /// Returns whether no byte of a request has been received and the connection can be closed.
     pub(super) fn is_idle(&self) -> bool {
         let is_read_pending = self.progress.is_read_pending();
         self.phase.get() == RequestPhase::Idle
@@ -135,14 +138,15 @@
             && self.can_be_closed()
     }
 
-    /// Whether something of its next request has come, or not all of the present one.
+    /// Returns whether the current request's body is incomplete or a part of the next request has been
+    /// received.
     fn is_sending(&self) -> bool {
         self.phase.get() == RequestPhase::ReadingBody || self.progress.first_byte_at().is_some()
     }
 
-    /// Whether it has had the time that it may take.
+    /// Returns whether the time limit for the next head, or for being idle, has passed.
     fn is_overdue(&self) -> bool {
-        // Requests whose head has come have limits of their own.
+        // Requests whose head is complete have time limits of their own.
         if self.phase.get() != RequestPhase::Idle {
             return false;
         }
@@ -153,43 +157,46 @@
         }
     }
 
-    /// Since when it has been idle; one that is sending has time for that first.
+    /// Returns since when the connection has been idle. A sending connection counts as idle only after the
+    /// time allowed for a head.
     fn idle_since(&self) -> Instant {
         let grace = if self.is_sending() { MAX_CLIENT_HEAD_TIME } else { Duration::ZERO };
         self.last_active_at.get() + grace
     }
 
+    /// Asks the connection's task to close the connection.
     pub(super) fn request_close(&self) {
         self.is_close_requested.set(true);
         self.close_request.notify_one();
     }
 }
 
-/// The clients' connections, and what their requests hold.
+/// The client connections, and the resources that their requests hold.
 #[derive(Default)]
 pub struct ConnectionTable {
     connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     next_connection_id: Cell<u64>,
-    /// Ids of the requests that are open.
+    /// The ids of the open requests.
     request_ids: RefCell<HashSet<HeaderValue>>,
-    /// Requests whose answer is pending.
+    /// The number of requests whose answer is pending.
     in_flight: Cell<usize>,
-    /// Bytes of their bodies.
+    /// The number of bytes reserved for bodies of open requests.
     buffered_bytes: Cell<usize>,
 }
 
 impl ConnectionTable {
-    /// How many connections there are.
+    /// Returns the number of connections.
     pub(super) fn len(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Requests whose answer is pending.
+    /// Returns the number of requests whose answer is pending.
     pub(super) fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Asks for the close of a connection that can be closed without loss, if there is one that may give way now.
+    /// Requests the close of a connection that may be evicted for this purpose, and returns its kind. Returns
+    /// `None` if there is none.
     pub(super) fn evict_idle_connection(&self, purpose: EvictionPurpose) -> Option<IdleKind> {
         let connections = self.connections.borrow();
         let candidates: Vec<_> =
@@ -199,7 +206,7 @@
         Some(kind)
     }
 
-    /// Asks for the close of connections that have had the time that they may take.
+    /// Requests the close of all overdue connections that can be closed without loss.
     pub(super) fn close_overdue(&self) {
         for connection in self.connections.borrow().values() {
             if connection.can_be_closed() && connection.is_overdue() {
@@ -209,7 +216,7 @@
     }
 }
 
-/// Which connection gives way, and what kind it is: the oldest of the first kind that there is.
+/// Chooses the connection to evict: the one that has been idle longest among the first kind that is present.
 fn choose_eviction<'a>(
     candidates: &[&'a Rc<ConnectionState>],
     purpose: EvictionPurpose,
@@ -223,8 +230,9 @@
     })
 }
 
-/// Which kinds of connections give way, the first of them first. One that was served stays where a crowd comes; who
-/// arrives or sends gives way only if somebody must.
+/// Returns the kinds of connections that may be evicted, in order of preference. In a burst, served
+/// connections are evicted last or not at all. New and sending connections are evicted only if room must be
+/// made.
 fn eviction_order(purpose: EvictionPurpose, is_burst: bool) -> &'static [IdleKind] {
     use IdleKind::{Closing, New, Rejected, Sending, Served, Stalled};
     match (purpose, is_burst) {
@@ -237,7 +245,7 @@
     }
 }
 
-/// A connection in the table; removed when this is dropped.
+/// A registered connection, which is removed from the table when the guard is dropped.
 pub(super) struct ConnectionGuard {
     table: Rc<ConnectionTable>,
     id: u64,
@@ -275,7 +283,7 @@
     }
 }
 
-/// A request has had its answer once this is dropped.
+/// Marks the current request as answered when dropped.
 pub(super) struct ResponseGuard(pub(super) Rc<ConnectionState>);
 
 impl Drop for ResponseGuard {
@@ -289,7 +297,8 @@
     }
 }
 
-/// An open request's id, and the bytes that its body holds; both are given back when this is dropped.
+/// The id of an open request and the bytes reserved for its body. Both are released when the guard is
+/// dropped.
 pub(super) struct RequestIdGuard {
     table: Rc<ConnectionTable>,
     id: HeaderValue,
@@ -297,7 +306,7 @@
 }
 
 impl RequestIdGuard {
-    /// None if a request with this id is open.
+    /// Registers the id. Returns `None` if a request with this id is open already.
     pub(super) fn new(table: &Rc<ConnectionTable>, id: &HeaderValue) -> Option<Self> {
         if !table.request_ids.borrow_mut().insert(id.clone()) {
             return None;
@@ -305,7 +314,8 @@
         Some(RequestIdGuard { table: table.clone(), id: id.clone(), bytes: 0 })
     }
 
-    /// Reserves more bytes for the body; false if all requests would then hold more than `limit`.
+    /// Reserves more bytes for the body. Returns `false` if the reservations of all requests would exceed
+    /// `limit`.
     pub(super) fn reserve(&mut self, bytes: usize, limit: usize) -> bool {
         let total = self.table.buffered_bytes.get() + bytes;
         if total > limit {
@@ -324,7 +334,7 @@
     }
 }
 
-/// Counts a request whose answer is pending.
+/// Counts a request as in flight until it is dropped.
 pub(super) struct InFlightGuard<'a>(&'a ConnectionTable);
 
 impl<'a> InFlightGuard<'a> {
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections.
+//! The listener: accepts client connections.
 
 use super::accept_queue::AcceptQueue;
 use super::connection::AcceptedConnection;
@@ -13,26 +13,27 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, Interval, interval, sleep};
 
-/// How often connections are looked through for those that are overdue.
+/// Interval between two checks for overdue connections.
 const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// When the listener is closed, connections that wait there are taken for no longer than this: in a crowd more come
-/// than can be taken.
+/// The time for which queued connections are accepted while the listener is closed. In a burst, connections
+/// arrive faster than they can be accepted.
 const QUEUE_DRAIN_TIMEOUT: Duration = Duration::from_millis(100);
-/// No more connections than the system's queue has places are rejected from it.
+/// The maximum number of queued connections that are rejected when the listener is closed: the size of the
+/// accept queue.
 const MAX_REJECTED_QUEUED: usize = 1024;
-/// How much is read of what a connection has sent that is rejected there, in bytes.
+/// The maximum number of bytes that are read from a queued connection that is rejected.
 const QUEUED_READ_BYTES: usize = 16 * 1024;
-/// Pause when nothing can be accepted.
+/// Delay after a failed accept.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(10);
-/// Places of connections that are rejected come free by themselves; only when none does for so long must others give
-/// way, who may be about to send.
+/// Time without room for another connection after which connections are evicted that may be about to send.
+/// Connections that are being rejected usually make room earlier by closing.
 const FORCED_EVICTION_DELAY: Duration = Duration::from_millis(5);
-/// So many of them give way at once.
+/// The number of connections that are evicted then at once.
 const FORCED_EVICTION_COUNT: usize = MAX_REJECTING_CONNECTIONS / 2;
 
-/// Accepts connections and, as `phase` says, closes them as they become idle; returns when the last one is closed.
-/// Nobody is kept waiting in the system's queue, where requests may lie whose answers are pending: whom there is
-/// no space for takes that of a client that has long sent nothing.
+/// Accepts and serves connections as `phase` directs, and returns when the last one is closed. No connection
+/// is left in the accept queue, where the answer to a request that it holds would be delayed: when the limit
+/// is reached, a new connection replaces one that has long been idle.
 pub async fn serve(server: Rc<Server>, listener: TcpListener, mut phase: watch::Receiver<ListenerPhase>) {
     let queue = AcceptQueue::new(listener);
     let mut connections = JoinSet::new();
@@ -44,8 +45,8 @@
             server.statistics.record_blocked();
             server.evict(EvictionPurpose::NewConnection);
         }
-        // Those that have ended hold memory until they are taken out. In a crowd a connection can be accepted at any time:
-        // left to chance, fewer would be taken out than come in.
+        // Finished tasks hold memory until they are joined. In a burst, a connection can be accepted at any
+        // time, and the random order of `select!` would join fewer tasks than it starts.
         while connections.try_join_next().is_some() {}
         tokio::select! {
             _ = phase.changed() => break,
@@ -55,22 +56,22 @@
                 server.table.close_overdue();
                 server.statistics.log_recent_if_full();
             }
-            // The turns of the connections may have taken longer than the pause, and have made space.
+            // The connections' tasks may have run for longer than the delay and made room meanwhile.
             () = sleep(FORCED_EVICTION_DELAY), if is_full => if server.is_full() {
                 server.force_evictions(FORCED_EVICTION_COUNT);
             },
             accepted = queue.accept(), if !is_full => match accepted {
                 Ok(stream) => {
                     server.statistics.record_accepted();
-                    // Without a pause, so that none waits in the system's queue for the turns of others.
+                    // Does not yield, so that the connections in the accept queue don't wait for other tasks.
                     let is_over_limit = !server.has_space();
                     let waiting_since = queue.waiting_since();
                     let connection =
                         AcceptedConnection::new(server.clone(), stream, is_over_limit, waiting_since);
                     connections.spawn_local(connection.serve(connection_phase.clone()));
                 }
-                // No error ends the loop, out of descriptors or other: clients are waiting, and what is short
-                // comes free again.
+                // No error ends the loop, whether out of descriptors or other: clients are waiting, and the
+                // resource that is short becomes available again.
                 Err(_) => {
                     server.statistics.record_error();
                     server.evict(EvictionPurpose::BlockedListener);
@@ -86,6 +87,7 @@
     wait_for_close(&server, connections, overdue_check).await;
 }
 
+/// Waits until the last connection is closed, and logs the total counts.
 async fn wait_for_close(server: &Server, mut connections: JoinSet<()>, mut overdue_check: Interval) {
     loop {
         tokio::select! {
@@ -98,15 +100,17 @@
     }
 }
 
-/// Takes the connections that wait at a listener, and closes it. Clients wait there of which the program was not notified
-/// yet; closed over them it would reset them. Past the descriptors others have to give way first, as for any that comes.
+/// Accepts the connections that are still in the accept queue, and closes the listener. The reactor may not
+/// have reported all of them yet, and closing the listener resets those that remain. If descriptors are
+/// short, connections are evicted first, as for any new connection.
 async fn accept_queued(
     server: &Rc<Server>,
     queue: AcceptQueue,
     connections: &mut JoinSet<()>,
     phase: &watch::Receiver<ListenerPhase>,
 ) {
-    // The reactor knows only what it was told when it last looked: the system is asked until it says no.
+    // The reactor knows only the readiness as of its last poll, so this calls accept until the queue is
+    // empty.
     let waiting_since = queue.waiting_since();
     let Ok(listener) = queue.into_std() else { return };
     let give_up_at = Instant::now() + QUEUE_DRAIN_TIMEOUT;
@@ -129,13 +133,15 @@
     reject_queued(server.retry_after(), &listener);
 }
 
-/// Answers the connections that still wait at a listener, one after the other: for all at once there is no space.
+/// Rejects the connections that are still in the accept queue, one after the other: there is no room to hold
+/// all of them at once.
 fn reject_queued(retry_after: Option<Duration>, listener: &std::net::TcpListener) {
     let rejection = rejected_response_bytes(retry_after);
     for _ in 0..MAX_REJECTED_QUEUED {
         let Ok((mut stream, _)) = listener.accept() else { return };
         let is_ready = stream.set_nonblocking(true).is_ok();
-        // Closed over unread bytes, the connection would be reset. Who has disconnected needs no answer.
+        // Closing a connection with unread bytes would reset it. A failed write means that the client has
+        // disconnected.
         if is_ready && stream.write(&rejection).is_ok() {
             let _ = stream.read(&mut [0; QUEUED_READ_BYTES]);
         }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: takes requests, checks them, and writes each one's final answer.
+//! The downstream side: accepts client connections, validates requests, and writes the final answer to each.
 
 mod accept_queue;
 mod accept_statistics;
--- a/crates/proxy/src/downstream/request_body.rs
+++ b/crates/proxy/src/downstream/request_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests: how long they may take, buffered or streamed through.
+//! Reads request bodies, buffered or streamed, within a deadline.
 
 use super::connection_table::{ConnectionState, REQUEST_READ_TIMEOUT, RequestIdGuard};
 use crate::transport::{FrameSender, MAX_BODY_BYTES, UploadStatus};
@@ -12,40 +12,43 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, timeout};
 
-/// A body may be waited for as long as its head, at least for so long after it ...
+/// Minimum time allowed for the body after the head. Otherwise the body shares the time limit of the head,
+/// [`REQUEST_READ_TIMEOUT`].
 const MIN_BODY_READ_TIME: Duration = Duration::from_millis(400);
-/// ... and so much longer as what has come of it takes at the slowest rate that clients have, less a quarter ...
+/// Minimum transfer rate, a quarter below the slowest rate that clients have. Received data extends the time
+/// allowed for the body by the time that the data takes at this rate.
 const MIN_BODY_BYTES_PER_S: f64 = 48_000.0;
-/// ... but not in a silence of this.
+/// Maximum time between two pieces of a body.
 const BODY_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How much longer than its client timeout a request may last whose body is streamed through.
+/// Returns how much longer than its client timeout a request with a streamed body may take.
 pub(super) fn body_extension(length: Option<u64>) -> Duration {
     let bytes = length.unwrap_or(MAX_BODY_BYTES) as f64;
     Duration::from_secs_f64(bytes / MIN_BODY_BYTES_PER_S) + REQUEST_READ_TIMEOUT
 }
 
-/// How long a body may still be waited for. What is waited for on the other side, which takes it, does not count.
+/// The time left for receiving a body. Time spent waiting for the backend to take the data does not count.
 pub(super) struct BodyReadDeadline {
     remaining: Duration,
 }
 
 impl BodyReadDeadline {
-    /// For a body whose head has just come, of a request that was begun earlier.
+    /// Creates the deadline for the body of a request that started at `started_at` and whose head has just
+    /// been received.
     pub(super) fn new(started_at: Instant) -> Self {
         BodyReadDeadline {
             remaining: REQUEST_READ_TIMEOUT.saturating_sub(started_at.elapsed()).max(MIN_BODY_READ_TIME),
         }
     }
 
-    /// The next piece of the body that holds data; nothing at its end.
+    /// Returns the next non-empty piece of the body, or `None` at its end.
     async fn next_data(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, StatusCode> {
         loop {
             let asked_at = Instant::now();
             let frame = timeout(self.remaining.min(BODY_IDLE_TIMEOUT), body.frame()).await;
             let frame = frame.map_err(|_| StatusCode::REQUEST_TIMEOUT)?;
             let Some(frame) = frame else { return Ok(None) };
-            // Trailers are left out.
+            // Trailers are dropped.
             let data = frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data().unwrap_or_default();
             self.remaining = self.remaining.saturating_sub(asked_at.elapsed());
             if !data.is_empty() {
@@ -56,15 +59,16 @@
     }
 }
 
-/// What was read of a body.
+/// The part of a body that was buffered.
 pub(super) enum BufferedBody {
-    /// All of it.
+    /// The whole body.
     Complete(Bytes),
-    /// The first of one that is too long to be buffered.
+    /// The beginning of a body that is too long to be buffered.
     Partial(Bytes),
 }
 
-/// Reads a body as far as it is buffered. One that is streamed through takes as much of the memory for bodies.
+/// Reads a body up to [`MAX_BUFFERED_BODY_BYTES`]. For a longer body, which is streamed, that much of the
+/// memory for bodies is reserved.
 pub(super) async fn buffer_body(
     body: &mut Incoming,
     deadline: &mut BodyReadDeadline,
@@ -90,8 +94,8 @@
     Ok(BufferedBody::Partial(data.freeze()))
 }
 
-/// A body that is streamed as it comes. When nobody wants it any more it is read to its end all the same: the client,
-/// which may be writing still, is to see its answer.
+/// Streams a body as it arrives. If its receiver is dropped, the body is still read to its end: a client that
+/// is still writing must be able to see its answer.
 pub(super) struct UploadStream {
     pub(super) body: Incoming,
     pub(super) deadline: BodyReadDeadline,
@@ -101,9 +105,10 @@
 }
 
 impl UploadStream {
-    /// Streams the body in a task of its own; `first` was read before.
+    /// Streams the body in a task of its own. `first` is the part that was read before.
     pub(super) fn spawn(self, first: Bytes) {
-        // Meanwhile what is read is no new head, whose time would run out.
+        // Keeps the bytes read meanwhile from counting as a new head, whose time limit would close the
+        // connection.
         self.connection.is_reading_body.set(true);
         spawn_local(self.run(first));
     }
--- a/crates/proxy/src/downstream/request_parsing.rs
+++ b/crates/proxy/src/downstream/request_parsing.rs
@@ -1,4 +1,4 @@
-//! What the head of a request says, by the settings.
+//! Parses and validates request heads according to the settings.
 
 use super::response::{ClientResponse, closing_response, empty_response, wrong_method_response};
 use crate::transport::MAX_HEADERS;
@@ -9,46 +9,46 @@
 use hyper::{Method, StatusCode};
 use std::time::Duration;
 
-/// Longest time that a client may say it waits, in milliseconds.
+/// Upper bound for the client timeout that a request states, in milliseconds.
 const MAX_CLIENT_TIMEOUT_MS: u64 = 600_000;
 
-/// Why a request is not taken, with the response that says so.
+/// The error response to a request that is not accepted.
 pub(super) type Rejection = Box<ClientResponse>;
 
-/// What a head says, once it is found in order.
+/// The content of a valid head.
 #[derive(Clone)]
 pub(super) struct ParsedHead {
-    /// `Req-Id`.
+    /// The value of `Req-Id`.
     pub(super) id: HeaderValue,
-    /// Place of its class in the settings.
+    /// Index of the request class in the settings.
     pub(super) class: u16,
-    /// Place of its tenant.
+    /// Index of the tenant in the settings.
     pub(super) tenant: u16,
-    /// How long its client waits.
+    /// The client timeout.
     pub(super) client_timeout: Duration,
-    /// `Idempotency-Key`.
+    /// The value of `Idempotency-Key`, if there is one.
     pub(super) idempotency_key: Option<HeaderValue>,
 }
 
-/// A request is bad, and nothing more can be read on its connection.
+/// Returns the response to a malformed request. It closes the connection, on which nothing more can be read.
 pub(super) fn bad_request() -> Rejection {
     Box::new(closing_response(StatusCode::BAD_REQUEST))
 }
 
-/// The name of the class that a request asks for: the first part of its path.
+/// Returns the class name of a request: the first segment of its path.
 pub(super) fn class_name(head: &Parts) -> &str {
     let path = head.uri.path().trim_start_matches('/');
     path.split('/').next().unwrap_or_default()
 }
 
-/// The key that requests about one thing have in common, if there is one.
+/// Returns the ordering key of a request, from the query parameter `k`, if there is one.
 pub(super) fn ordering_key(head: &Parts) -> Option<String> {
     let query = head.uri.query()?;
     let key = query.split('&').find_map(|parameter| parameter.strip_prefix("k="))?;
     if key.is_empty() { None } else { Some(key.to_string()) }
 }
 
-/// Reads a head by the settings, or says what is wrong with it.
+/// Parses and validates a head. Returns the error response if it is not valid.
 pub(super) fn parse_head(
     settings: &ResolvedSettings,
     head: &Parts,
@@ -78,7 +78,7 @@
 
 fn parse_client_timeout(head: &Parts) -> Option<Duration> {
     let text = single_header(&head.headers, "req-deadline-ms")?.to_str().ok()?;
-    // A number without a sign.
+    // Parsing alone would accept a sign.
     if !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
     }
@@ -103,9 +103,10 @@
     if is_valid { Ok(()) } else { Err(bad_request()) }
 }
 
-/// Checks how the body is framed. The only coding may be `chunked`, with no length beside it. The HTTP library drops
-/// such a length before it can be seen, so the head is read once more as it came, from `raw_head`; where it was not
-/// seen alone, that can't be told.
+/// Checks the framing of a body: the only transfer coding allowed is `chunked`, without a `Content-Length`.
+/// The HTTP library removes such a length, so the head is parsed once more from `raw_head`, the bytes as
+/// received. A chunked request is rejected if its head was not captured separately, because its headers can't
+/// be checked then.
 pub(super) fn check_framing(head: &Parts, raw_head: &[u8]) -> Result<(), Rejection> {
     let codings: Vec<&HeaderValue> = head.headers.get_all(TRANSFER_ENCODING).iter().collect();
     let is_valid = match codings[..] {
@@ -116,8 +117,8 @@
     if is_valid { Ok(()) } else { Err(bad_request()) }
 }
 
-/// How many bytes of a body of this length, if that is known, were not read together with its head; none if that can't
-/// be told.
+/// Returns how many bytes of a body were not read together with its head, or `None` if that is unknown.
+/// `length` is the body's length, if it is known.
 pub(super) fn unread_body_bytes(raw_head: &[u8], length: Option<u64>) -> Option<u64> {
     let length = length?;
     if length == 0 {
@@ -140,7 +141,7 @@
     is_complete && request.headers.iter().all(|header| !header.name.eq_ignore_ascii_case("content-length"))
 }
 
-/// A header that must come once, and not empty.
+/// Returns the value of a header that occurs exactly once and is not empty.
 fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -18,12 +18,12 @@
 /// The body of a response to a client.
 pub(super) struct ResponseBody {
     content: BodyContent,
-    /// Until a streamed body has ended, its connection is not idle.
+    /// Keeps the connection from counting as idle until a streamed body has ended.
     guard: Option<ResponseGuard>,
 }
 
 impl ResponseBody {
-    /// Keeps the guard of a streamed body for as long as that lasts; gives that of a buffered one up.
+    /// Holds the guard until a streamed body ends. For a buffered body the guard is dropped at once.
     pub(super) fn hold_guard(&mut self, guard: ResponseGuard) {
         if matches!(self.content, BodyContent::Streamed(_)) {
             self.guard = Some(guard);
@@ -57,21 +57,21 @@
     }
 }
 
-/// A response without a body.
+/// Creates a response without a body.
 pub(super) fn empty_response(status: StatusCode) -> ClientResponse {
     let mut response = Response::new(BodyContent::empty().into());
     *response.status_mut() = status;
     response
 }
 
-/// A response to what can't be used, after which nothing more is read.
+/// Creates a response without a body that closes the connection, because the request can't be used.
 pub(super) fn closing_response(status: StatusCode) -> ClientResponse {
     let mut response = empty_response(status);
     close_after(&mut response);
     response
 }
 
-/// A response to a request with the wrong method.
+/// Creates the response to a request with the wrong method.
 pub(super) fn wrong_method_response(allowed: &Method) -> ClientResponse {
     let mut response = empty_response(StatusCode::METHOD_NOT_ALLOWED);
     let allowed = HeaderValue::from_static(if allowed == Method::GET { "GET" } else { "POST" });
@@ -79,7 +79,7 @@
     response
 }
 
-/// A response to a request that was rejected.
+/// Creates the response to a rejected request.
 pub(super) fn rejected_response(retry_after: Option<Duration>) -> ClientResponse {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = retry_after.map(retry_after_seconds);
@@ -89,7 +89,7 @@
     response
 }
 
-/// The same as it is written on a connection that ends with it, without the HTTP library.
+/// Returns a rejection as bytes that are written without the HTTP library before the connection is closed.
 pub(super) fn rejected_response_bytes(retry_after: Option<Duration>) -> Vec<u8> {
     let mut text =
         "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n".to_string();
@@ -104,7 +104,7 @@
     format!("{:.3}", retry_after.as_secs_f64())
 }
 
-/// The response that gives a request's final answer.
+/// Creates the response for a final answer.
 pub(super) fn answer_response(answer: Answer) -> ClientResponse {
     match answer {
         Answer::Served(content) => Response::new(content.into()),
@@ -115,7 +115,7 @@
     }
 }
 
-/// Lets a response be the last one on its connection.
+/// Makes the connection close after this response.
 pub(super) fn close_after(response: &mut ClientResponse) {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -1,4 +1,4 @@
-//! What all connections of clients share.
+//! State shared by all client connections.
 
 use super::accept_statistics::AcceptStatistics;
 use super::connection_table::{ConnectionTable, EvictionPurpose};
@@ -7,51 +7,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections past the limit, accepted only to be rejected at once.
+/// Maximum number of connections over the limit that are accepted only to be rejected at once.
 pub const MAX_REJECTING_CONNECTIONS: usize = 16;
 
-/// Who is rejected for want of space is told to stay away so long, in milliseconds, where that is told.
+/// `Retry-After` of requests that are rejected because of the connection limits, in milliseconds, where the
+/// settings allow it.
 const RETRY_AFTER_MS: f64 = 500.0;
 
-/// How far a planned stop has come.
+/// The progress of a planned stop, as the listener sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListenerPhase {
-    /// There is none.
+    /// No stop has begun: connections are accepted.
     Accepting,
-    /// No more connections are accepted; those that are open go on.
+    /// No more connections are accepted; open connections are served as before.
     NotAccepting,
-    /// Another process accepts connections; those that are open go on to their next answer.
+    /// Another process accepts connections; each open connection is closed after its next answer.
     HandedOver,
     /// Connections are closed as they become idle.
     ClosingIdle,
 }
 
-/// What all clients together may hold.
+/// Limits on the resources that all clients together may use.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientLimits {
-    /// Most connections at once.
+    /// Maximum number of concurrent connections.
     pub max_connections: usize,
-    /// Connections past them, accepted only to be rejected at once.
+    /// Maximum number of further connections that are accepted only to be rejected at once.
     pub max_rejecting_connections: usize,
-    /// Most bytes in the bodies of open requests.
+    /// Maximum number of bytes reserved for bodies of open requests.
     pub max_body_bytes: usize,
 }
 
-/// What is needed to serve clients.
+/// The state that is needed to serve clients.
 pub struct Server {
-    /// Gives their requests their answers.
+    /// Answers the requests.
     pub(super) dispatcher: Rc<Dispatcher>,
-    /// What they may hold.
+    /// The limits in force.
     pub(super) limits: Cell<ClientLimits>,
-    /// Whether each answer is to be the last on its connection.
+    /// Whether another process accepts connections, so that each connection is closed after its next answer.
     pub(super) is_handed_over: Cell<bool>,
-    /// Who is connected.
+    /// The open connections.
     pub(super) table: Rc<ConnectionTable>,
     pub(super) statistics: AcceptStatistics,
 }
 
 impl Server {
-    /// A server without connections.
+    /// Creates a server without connections.
     pub fn new(dispatcher: Rc<Dispatcher>, limits: ClientLimits) -> Self {
         Server {
             dispatcher,
@@ -62,14 +63,15 @@
         }
     }
 
-    /// Keeps to other limits from now on: idle connections above them are closed.
+    /// Sets the limits, and evicts connections above the new limit that can be closed without loss.
     pub fn resize(&self, limits: ClientLimits) {
         self.limits.set(limits);
         let excess = self.table.len().saturating_sub(limits.max_connections);
         self.force_evictions(excess);
     }
 
-    /// How long who is rejected for want of space is told to stay away, where that is told.
+    /// Returns the `Retry-After` delay for requests that are rejected because of the connection limits, if
+    /// the settings allow it.
     pub(super) fn retry_after(&self) -> Option<Duration> {
         let settings = self.dispatcher.settings();
         let capabilities = &settings.balancer.capabilities;
@@ -77,23 +79,24 @@
         if capabilities.sends_retry_after { Some(duration_from_ms(retry_after_ms)) } else { None }
     }
 
-    /// Whether no connection can be accepted, not even to be rejected.
+    /// Returns whether no connection can be accepted, not even to be rejected.
     pub(super) fn is_full(&self) -> bool {
         let limits = self.limits.get();
         self.table.len() >= limits.max_connections + limits.max_rejecting_connections
     }
 
-    /// Whether there is space for another connection, perhaps that of an idle one.
+    /// Returns whether there is room for another connection. Evicts an idle connection if necessary.
     pub(super) fn has_space(&self) -> bool {
         self.table.len() < self.limits.get().max_connections || self.evict(EvictionPurpose::NewConnection)
     }
 
-    /// Whether a connection past the limit that was served may stay, perhaps in the place of another.
+    /// Returns whether a connection over the limit that was served may be kept. Evicts another one if
+    /// necessary.
     pub(super) fn can_keep_served(&self) -> bool {
         self.table.len() <= self.limits.get().max_connections || self.evict(EvictionPurpose::ServedConnection)
     }
 
-    /// Asks for the close of so many connections, or of all that can be closed without loss.
+    /// Requests the close of `count` connections, or of as many as can be closed without loss.
     pub(super) fn force_evictions(&self, count: usize) {
         for _ in 0..count {
             if !self.evict(EvictionPurpose::BlockedListener) {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Asks for the close of a connection that can give way; false if there is none.
+    /// Requests the close of a connection that may be evicted. Returns `false` if there is none.
     pub(super) fn evict(&self, purpose: EvictionPurpose) -> bool {
         let Some(kind) = self.table.evict_idle_connection(purpose) else { return false };
         self.statistics.record_evicted(kind);
