--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin API: operators suspend backends, drain the proxy, and ask for its readiness and settings. It hands calls
-//! over and decides nothing.
+//! The admin API, with which operators suspend backends, drain the proxy, and query its readiness and
+//! settings. It passes requests on to the dispatcher and the process group and decides nothing itself.
 
 mod routes;
 
@@ -26,32 +26,34 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// Connections at once. Whoever holds one without a complete call gives way to the next caller, the oldest first.
+/// Maximum number of concurrent connections. Beyond it, a new connection closes the oldest one that has not
+/// sent a complete request yet.
 pub const MAX_CONNECTIONS: usize = 8;
-/// A call must have come completely by then.
+/// Time limit for a connection, from its accept to the end of its response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest head of a call in bytes, the least that the HTTP library takes.
+/// Maximum length of a request head in bytes. This is the lowest limit that the HTTP library accepts.
 const MAX_HEAD_BYTES: usize = 8192;
-/// Longest body of a call in bytes; it says nothing.
+/// Maximum length of a request body in bytes. Bodies are read and ignored.
 const MAX_BODY_BYTES: usize = 4096;
-/// Pause when nothing can be accepted.
+/// Delay after a failed accept.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
 type AdminResponse = Response<Full<Bytes>>;
 
-/// The admin API, and what its calls act on.
+/// The admin API server, with the state that its requests read and change.
 pub struct AdminServer {
     dispatcher: Rc<Dispatcher>,
     process_group: ProcessGroup,
     reload_status: Rc<ReloadStatus>,
-    /// Whether the markers could not be read when last polled.
+    /// Whether the last attempt to read the markers failed.
     are_markers_unreadable: Cell<bool>,
-    /// Whether clients are served here: not yet, or not any more.
+    /// Whether this process serves clients. `false` before the start is complete and after a planned stop has
+    /// begun.
     is_serving: Cell<bool>,
 }
 
 impl AdminServer {
-    /// An admin API for the dispatcher. What is marked already holds from now on.
+    /// Creates the admin API server, announces the start of this process, and applies the existing markers.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         process_group: ProcessGroup,
@@ -65,56 +67,64 @@
             is_serving: Cell::new(false),
         });
         if let Err(error) = server.process_group.announce_start() {
-            log!("markers: {error}; other processes will not know that this one starts");
+            log!("markers: cannot announce the start of this process to the others: {error}");
         }
         server.apply_markers();
         server
     }
 
-    /// From now on clients are served here, and this process counts as one that serves.
+    /// Marks this process as serving, for the readiness check and for the other processes.
     pub fn start_serving(&self) {
         self.is_serving.set(true);
         if let Err(error) = self.process_group.join() {
-            log!("markers: {error}; other processes will not know of this one");
+            log!("markers: cannot announce to the other processes that this one serves: {error}");
         }
     }
 
-    /// From now on the process is not ready any more.
+    /// Makes the readiness check fail from now on.
     pub fn stop_serving(&self) {
         self.is_serving.set(false);
     }
 
-    /// Tells the balancer what the markers say. Markers that can't be read leave all as it was.
+    /// Applies the markers to the balancer. Returns `false` and changes nothing if they can't be read.
     pub fn apply_markers(&self) -> bool {
         let control = self.process_group.control_state();
         let were_unreadable = self.are_markers_unreadable.replace(control.is_err());
         match control {
             Ok(control) => self.dispatcher.apply_control_state(&control),
-            Err(error) if !were_unreadable => log!("markers: {error}; what held continues"),
+            Err(error) if !were_unreadable => {
+                log!("markers: cannot be read: {error}; the state applied last stays in force");
+            }
             Err(_) => {}
         }
-        // A version that can't be published is shown as none by the others, and published the next time.
+        // If publishing fails, the other processes show no version for this one, and the next call tries
+        // again.
         let _ = self.process_group.publish_version(self.dispatcher.settings_version());
         !self.are_markers_unreadable.get()
     }
 
-    /// Takes calls for ever.
+    /// Accepts and serves connections forever.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut connections = JoinSet::new();
         let mut oldest_first = VecDeque::<AbortHandle>::new();
         loop {
             tokio::select! {
-                Some(_) = connections.join_next() => oldest_first.retain(|connection| !connection.is_finished()),
+                Some(_) = connections.join_next() => {
+                    oldest_first.retain(|connection| !connection.is_finished());
+                }
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => {
                         if oldest_first.len() >= MAX_CONNECTIONS {
                             close_oldest(&mut oldest_first);
                         }
-                        oldest_first.push_back(connections.spawn_local(self.clone().serve_connection(stream)));
-                        // It may hold its call already, and must not give way to the next before that is seen.
+                        oldest_first
+                            .push_back(connections.spawn_local(self.clone().serve_connection(stream)));
+                        // The connection may hold its request already. Lets its task read it before the next
+                        // connection can replace it.
                         tokio::task::yield_now().await;
                     }
-                    // Out of descriptors or other: callers are waiting, and what is short comes free again.
+                    // No error ends the loop, whether out of descriptors or other: callers are waiting, and
+                    // the resource that is short becomes available again.
                     Err(_) => {
                         close_oldest(&mut oldest_first);
                         sleep(ACCEPT_ERROR_PAUSE).await;
@@ -132,7 +142,8 @@
         });
         let mut builder = http1::Builder::new();
         let builder = builder.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
-        // However it ends, the call has been answered or its caller has disconnected.
+        // The result is ignored: the request was answered, the caller has disconnected, or its time has run
+        // out.
         let _ = timeout(REQUEST_TIMEOUT, builder.serve_connection(TokioIo::new(stream), service)).await;
     }
 
@@ -167,7 +178,8 @@
         }
     }
 
-    /// Which settings are in force here and in the other processes of this proxy, and the last that were rejected.
+    /// Returns the settings versions in force in this process and in the others of the proxy, and the last
+    /// rejected configuration.
     fn settings_response(&self) -> AdminResponse {
         self.apply_markers();
         let processes = self.process_group.versions().unwrap_or_default();
@@ -176,7 +188,7 @@
     }
 
     fn set_suspended(&self, backend: Option<String>, is_suspended: bool) -> AdminResponse {
-        // The other process may have been notified of more.
+        // Another process may have marked a backend as suspended that this one doesn't know yet.
         self.apply_markers();
         let Some(name) = backend.filter(|name| self.dispatcher.knows_backend(name)) else {
             return text_response(StatusCode::NOT_FOUND, "no such backend");
@@ -185,10 +197,10 @@
         self.control_response(self.process_group.set_suspended(&name, is_suspended), action, &name)
     }
 
-    /// A success once the marker stands and the balancer has applied it.
+    /// Returns a success response if the marker was changed and the balancer has applied it.
     fn control_response(&self, marker_result: io::Result<()>, action: &str, target: &str) -> AdminResponse {
         if let Err(error) = &marker_result {
-            log!("{action} {target}: not done, its marker failed: {error}");
+            log!("{action} {target}: not done, cannot change its marker: {error}");
         }
         if marker_result.is_ok() && self.apply_markers() {
             text_response(StatusCode::OK, &format!("{action} {target}: done"))
--- a/crates/proxy/src/admin/routes.rs
+++ b/crates/proxy/src/admin/routes.rs
@@ -1,32 +1,32 @@
-//! The calls of the admin API, by method and path.
+//! The routes of the admin API, by method and path.
 
 use hyper::Method;
 use percent_encoding::percent_decode_str;
 
-/// A call.
+/// A route of the admin API.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Route {
-    /// Whether the process is ready.
+    /// Returns whether the process is ready.
     Ready,
-    /// Which settings are in force.
+    /// Returns the settings versions in force.
     Settings,
-    /// What is known of discovery and its endpoint list.
+    /// Returns the status of discovery and of its endpoint list.
     Discovery,
-    /// Suspend a backend, or resume it.
+    /// Suspends or resumes a backend.
     SetSuspended {
-        /// Its name; none if the path holds no text.
+        /// The backend's name, or `None` if the path segment does not decode to UTF-8.
         backend: Option<String>,
-        /// Suspend or resume.
+        /// `true` to suspend, `false` to resume.
         is_suspended: bool,
     },
-    /// Drain the proxy, or activate it.
+    /// Drains or activates the proxy.
     SetDraining {
-        /// Drain or activate.
+        /// `true` to drain, `false` to activate.
         is_draining: bool,
     },
 }
 
-/// Why there is no such call.
+/// The reason why a request matches no route.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum RouteError {
     UnknownPath,
--- a/crates/proxy/src/config/error.rs
+++ b/crates/proxy/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the configuration.
+//! Configuration errors.
 
 use foldhitch_balancer::api::SettingsError;
 use foldhitch_balancer::settings_format::SettingsFormatError;
@@ -6,67 +6,67 @@
 use std::net::AddrParseError;
 use std::num::ParseIntError;
 
-/// Why a configuration can't be used.
+/// The reason why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The variable that names the file is not set.
+    /// The environment variable that names the file is not set.
     #[error("RELAY_CONFIG is not set")]
     MissingVariable,
     /// The file can't be read.
     #[error("RELAY_CONFIG: {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What the system says.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A key is missing or holds no such value; the source names its path.
+    /// A key is missing or has an invalid value. The source names the key's path.
     #[error("config: {0}")]
     InvalidKey(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// The settings can't be read.
+    /// The settings can't be parsed.
     #[error("config: {0}")]
     SettingsFormat(#[from] SettingsFormatError),
-    /// The settings can't be put in force.
+    /// The balancer rejects the settings.
     #[error("config: {0}")]
     Settings(#[from] SettingsError),
-    /// A value that the proxy can't work with.
+    /// The proxy can't work with a value.
     #[error("config: {key}: {reason}")]
     InvalidValue {
-        /// Its key.
+        /// The key of the value.
         key: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         reason: &'static str,
     },
-    /// An address is in neither the environment nor the file.
+    /// An address is given in neither the environment nor the file.
     #[error("config: {key}: is missing")]
     MissingAddress {
-        /// Its key.
+        /// The key of the address.
         key: &'static str,
     },
-    /// A text is no address.
+    /// An address can't be parsed.
     #[error("config: {key}: {text}: {source}")]
     InvalidAddress {
-        /// Its key.
+        /// The key of the address.
         key: &'static str,
-        /// The text.
+        /// The text that is not an address.
         text: String,
-        /// What is wrong with it.
+        /// The parse error.
         source: AddrParseError,
     },
-    /// The seed is no hexadecimal number.
-    #[error("config: seed: {0}")]
+    /// The seed is not a hexadecimal number.
+    #[error("config: seed: not a hexadecimal number: {0}")]
     InvalidSeed(#[source] ParseIntError),
-    /// Only a start can change this.
+    /// A value differs from the one in force and can be changed only by a restart.
     #[error("config: {key}: needs a restart")]
     NeedsRestart {
-        /// Its key.
+        /// The key of the value.
         key: &'static str,
     },
 }
 
 impl ConfigError {
-    /// Whether the file could not be read or is not whole, which may pass by itself. It says nothing then about what the
-    /// file is to hold.
+    /// Returns whether the error may pass without a new signal: the file could not be read, or it is not
+    /// valid JSON, as while it is still being written. Such an error says nothing about the intended content.
     pub fn is_transient(&self) -> bool {
         match self {
             ConfigError::InvalidKey(source) => source.inner().is_eof() || source.inner().is_syntax(),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether the file could not be read.
+    /// Returns whether the file could not be read.
     pub fn is_unreadable(&self) -> bool {
         matches!(self, ConfigError::Unreadable { .. })
     }
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! What the proxy is told, at its start and with SIGHUP: the environment and the configuration file, checked.
+//! The configuration: reads and validates the environment and the configuration file, at the start and on
+//! SIGHUP.
 
 mod error;
 pub mod reload;
@@ -13,37 +14,37 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
-/// Fewer descriptors than this leave none for work.
+/// Minimum number of descriptors. Fewer leave none for client and backend connections.
 const MIN_SOCKETS: usize = 64;
-/// Numbers beyond this are not the same for every reader of JSON.
+/// Maximum version. Not every JSON parser represents larger integers exactly.
 const MAX_VERSION: u64 = 1 << 53;
-/// Less memory than this holds no work.
+/// Minimum memory in MB. Less leaves none for requests.
 const MIN_MEMORY_MB: usize = 8;
 
-/// What a configuration says.
+/// A validated configuration.
 #[derive(Clone)]
 pub struct Config {
-    /// The proxy's name, if the file gives it.
+    /// The proxy's name, if the file states one.
     pub name: Option<String>,
-    /// Its version; 0 where the file gives none.
+    /// The version of the configuration; 0 if the file states none.
     pub version: u64,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where operators call the admin API, if anywhere.
+    /// The address of the admin API, if there is one.
     pub admin: Option<SocketAddr>,
-    /// Where discovery, or its agent, answers.
+    /// The address of discovery or of its agent.
     pub discovery: SocketAddr,
-    /// Seed of the balancer's random numbers.
+    /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// How many descriptors the process may hold.
+    /// The maximum number of descriptors, over all processes of the proxy.
     pub max_descriptors: usize,
-    /// How many bytes of memory it may use.
+    /// The maximum memory in bytes, over all processes of the proxy.
     pub memory_bytes: usize,
-    /// The settings.
+    /// The parsed settings.
     pub settings: ResolvedSettings,
 }
 
-/// What only a start can change.
+/// The values that only a restart can change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FixedConfig {
     name: Option<String>,
@@ -75,27 +76,29 @@
     memory_mb: usize,
 }
 
-/// Which of the environment and the file goes before the other.
+/// The source that takes precedence, environment or file.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Precedence {
     Environment,
     File,
 }
 
-/// Reads the environment and the file that it names, with the endpoint list as this proxy last had it.
+/// Reads the environment and the file that it names, including the endpoint list in the file, which is the
+/// last one that this proxy had.
 pub fn load() -> Result<(Config, Option<DiscoveryResponse>), ConfigError> {
     read(Precedence::Environment)
 }
 
-/// Reads the file again. For discovery it goes before the environment, which still names the old address. The endpoint
-/// list in it is for a start: to read it would hold up requests for milliseconds.
+/// Reads the file again. The file's discovery address takes precedence over the environment's, which is still
+/// the old one. The endpoint list in the file is used only at a start; parsing it here would block requests
+/// for milliseconds.
 pub fn reload() -> Result<Config, ConfigError> {
     let (config, _) = read::<IgnoredAny>(Precedence::File)?;
     Ok(config)
 }
 
 impl Config {
-    /// What only a start can change.
+    /// Returns the values that only a restart can change.
     pub fn fixed(&self) -> FixedConfig {
         FixedConfig {
             name: self.name.clone(),
@@ -106,7 +109,8 @@
         }
     }
 
-    /// A hash of what may change while the program runs: the same version is the same content.
+    /// Returns a hash of the values that a reload may change. It is used to check that a version always has
+    /// the same content.
     pub fn content_hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         format!("{:?}", self.settings).hash(&mut hasher);
@@ -116,7 +120,7 @@
 }
 
 impl FixedConfig {
-    /// Checks that another configuration changes nothing that only a start can change.
+    /// Checks that another configuration has the same values.
     pub fn check_unchanged(&self, other: &FixedConfig) -> Result<(), ConfigError> {
         require_unchanged("name", self.name == other.name)?;
         require_unchanged("listen", self.listen == other.listen)?;
@@ -130,7 +134,8 @@
     if is_unchanged { Ok(()) } else { Err(ConfigError::NeedsRestart { key }) }
 }
 
-/// The environment's addresses, where given, go before the file's; for discovery `discovery_precedence` says which does.
+/// Reads the environment and the file. Addresses from the environment take precedence over those in the file,
+/// except that `discovery_precedence` decides for discovery.
 fn read<K: DeserializeOwned>(discovery_precedence: Precedence) -> Result<(Config, Option<K>), ConfigError> {
     let path = env::var("RELAY_CONFIG").map_err(|_| ConfigError::MissingVariable)?;
     let text = std::fs::read(&path).map_err(|source| ConfigError::Unreadable { path, source })?;
@@ -162,16 +167,17 @@
     env::var(name).ok()
 }
 
+/// Checks the version and the limits. The messages repeat the values of the constants.
 fn check_limits(version: u64, limits: &Limits) -> Result<(), ConfigError> {
-    require(version <= MAX_VERSION, "version", "is out of range")?;
-    require(limits.sockets >= MIN_SOCKETS, "limits.sockets", "too few to work with")?;
-    require(limits.memory_mb >= MIN_MEMORY_MB, "limits.memory_mb", "too little to work with")
+    require(version <= MAX_VERSION, "version", "is above the maximum of 9007199254740992")?;
+    require(limits.sockets >= MIN_SOCKETS, "limits.sockets", "is below the minimum of 64")?;
+    require(limits.memory_mb >= MIN_MEMORY_MB, "limits.memory_mb", "is below the minimum of 8")
 }
 
-/// Checks what a proxy on real sockets needs beside what the balancer does.
+/// Checks the settings that the proxy requires in addition to the balancer's requirements.
 fn check_site(site: &SiteSettings) -> Result<(), ConfigError> {
     let are_named = |names: &[String]| !names.iter().any(String::is_empty);
-    let (no_name, missing) = ("one has no name", "is missing or 0");
+    let (no_name, missing) = ("contains an empty name", "is missing or 0");
     require(are_named(&site.class_names), "settings: classes", no_name)?;
     require(are_named(&site.tenant_names), "settings: tenants", no_name)?;
     require(!site.zone_names.is_empty(), "settings: localities", "is missing or empty")?;
--- a/crates/proxy/src/config/reload.rs
+++ b/crates/proxy/src/config/reload.rs
@@ -1,4 +1,5 @@
-//! SIGHUP: the configuration file is read again, and what it says is put in force in one turn, or not at all.
+//! Reloads the configuration file on SIGHUP. A configuration is applied completely and in one step, or not at
+//! all.
 
 use super::{Config, ConfigError, FixedConfig};
 use crate::dispatcher::{Dispatcher, duration_from_ms};
@@ -11,24 +12,24 @@
 use std::rc::Rc;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// What became of the configurations that were read.
+/// When the configuration in force was applied, and the last one that was rejected.
 pub struct ReloadStatus {
-    /// When the one in force was put so, Unix time in milliseconds.
+    /// When the version in force was applied, in milliseconds of Unix time.
     applied_at_ms: Cell<u64>,
     last_rejection: RefCell<Option<Rejection>>,
 }
 
-/// A configuration that was rejected, as the admin API answers with it.
+/// A rejected configuration, as the admin API returns it.
 #[derive(Debug, Clone, Serialize)]
 struct Rejection {
-    /// When it came, Unix time in milliseconds.
+    /// When the configuration was rejected, in milliseconds of Unix time.
     #[serde(rename = "at_ms")]
     rejected_at_ms: u64,
     #[serde(rename = "why")]
     reason: String,
 }
 
-/// The status as the admin API answers with it.
+/// The reload status, as the admin API returns it.
 #[derive(Debug, Serialize)]
 struct StatusResponse {
     #[serde(rename = "applied_ms")]
@@ -46,12 +47,13 @@
 }
 
 impl ReloadStatus {
-    /// Of a start.
+    /// Creates the status after a start.
     pub fn new() -> Self {
         ReloadStatus { applied_at_ms: Cell::new(unix_ms()), last_rejection: RefCell::default() }
     }
 
-    /// The status as JSON, with the version in force here and those of the processes that act as this proxy.
+    /// Returns the status as JSON. `version` is the one in force in this process, `processes` those of the
+    /// proxy's processes by their ids.
     pub fn to_json(
         &self,
         version: u64,
@@ -67,33 +69,34 @@
     }
 }
 
-/// What became of a configuration that was read again.
+/// The result of a reload.
 pub enum ReloadOutcome {
-    /// It is in force.
+    /// The configuration is in force.
     Applied {
-        /// The address of discovery, where its watch is to begin anew.
+        /// The address of discovery if the watch is to be restarted, otherwise `None`.
         discovery: Option<SocketAddr>,
     },
-    /// It can't be put in force.
+    /// The configuration is invalid or can't be applied.
     Rejected,
-    /// It could not be read or was not whole, and is still to be put in force.
+    /// The file could not be read or is incomplete, and is to be read again.
     TryAgain,
 }
 
-/// Reads the configuration again.
+/// Reads and applies changed configurations.
 pub struct Reloader {
     dispatcher: Rc<Dispatcher>,
     pool: Rc<ConnectionPool>,
     status: Rc<ReloadStatus>,
-    /// What only a start can change, as it was then.
+    /// The values that only a restart can change, as of the start.
     fixed: FixedConfig,
     discovery: Cell<SocketAddr>,
-    /// Why the file was rejected, as logged last since the last signal.
+    /// The last logged reason for a rejection since the last signal.
     last_logged_reason: RefCell<Option<String>>,
 }
 
 impl Reloader {
-    /// Continues from the configuration of a start, whose version counts from here.
+    /// Creates a reloader that continues from the configuration of the start, and passes that one's version
+    /// to the dispatcher.
     pub fn new(
         config: &Config,
         dispatcher: Rc<Dispatcher>,
@@ -105,7 +108,8 @@
         Ok(Reloader { dispatcher, pool, status, fixed, discovery, last_logged_reason: RefCell::default() })
     }
 
-    /// Reads the file and puts it in force. Of a file that can't be put in force nothing is, and the one before holds.
+    /// Reads the file and applies it. If that is not possible, nothing of it is applied and the configuration
+    /// before it stays in force.
     pub fn reload(&self) -> ReloadOutcome {
         match super::reload().and_then(|config| self.apply(config)) {
             Ok(discovery) => ReloadOutcome::Applied { discovery },
@@ -116,37 +120,39 @@
         }
     }
 
-    /// Notes why the file was not put in force, and logs it unless it is what the last read since the signal met.
+    /// Records why the file was rejected, and logs the reason unless it is the last one logged since the
+    /// signal.
     fn reject(&self, error: &ConfigError) {
         let reason = error.to_string();
         let logged = self.last_logged_reason.replace(Some(reason.clone()));
         if logged.as_ref() != Some(&reason) {
-            let suffix = if error.is_transient() { "; it is read again until it is whole" } else { "" };
+            let suffix =
+                if error.is_transient() { "; retrying until the file is readable and complete" } else { "" };
             log!("configuration rejected: {reason}{suffix}");
         }
         self.status.last_rejection.replace(Some(Rejection { rejected_at_ms: unix_ms(), reason }));
     }
 
-    /// Notes that a signal asks for the file.
+    /// Records that a signal has requested a reload.
     pub fn on_signal(&self) {
         self.last_logged_reason.take();
-        log!("SIGHUP: the file that RELAY_CONFIG names is read again");
+        log!("SIGHUP: reloading the file named by RELAY_CONFIG");
     }
 
     fn apply(&self, config: Config) -> Result<Option<SocketAddr>, ConfigError> {
         self.fixed.check_unchanged(&config.fixed())?;
         let old = self.dispatcher.settings();
-        // Backends are known by the places of their zones.
+        // Backends refer to their zones by index.
         if !config.settings.site.zone_names.starts_with(&old.site.zone_names) {
             return Err(ConfigError::InvalidValue {
                 key: "settings: localities",
-                reason: "needs a restart, unless some are added",
+                reason: "needs a restart, unless zones are only added at the end",
             });
         }
         let (address, content_hash) = (config.discovery, config.content_hash());
         let old_version = self.dispatcher.settings_version();
         let version = self.dispatcher.configure(config.settings, config.version, content_hash)?;
-        // Nothing fails from here on.
+        // No step fails from here on.
         let site = &self.dispatcher.settings().site;
         self.pool.set_timeouts(
             duration_from_ms(site.connect_timeout_ms),
@@ -157,7 +163,7 @@
             self.status.applied_at_ms.set(unix_ms());
         }
         log!("configuration applied, version {version}, discovery at {address}");
-        // How long its watch waits follows from the drain deadline.
+        // The timeouts of the watch depend on the drain deadline.
         let has_drain_deadline_changed = site.drain_deadline_ms != old.site.drain_deadline_ms;
         let has_address_changed = self.discovery.replace(address) != address;
         Ok((has_address_changed || has_drain_deadline_changed).then_some(address))
