--- a/crates/proxy/src/process_group/mod.rs
+++ b/crates/proxy/src/process_group/mod.rs
@@ -1,5 +1,6 @@
-//! What the processes of one proxy share: markers in a folder of `$TMPDIR`, which outlives each of them. A marker is
-//! an empty file; its name says all, so that it is made and removed in one step and means the same once or twice.
+//! The state that the processes of one proxy share: marker files in a folder below `$TMPDIR`, which outlives
+//! each process. A marker is an empty file whose name holds all its information, so that creating and
+//! removing it is atomic and idempotent.
 
 mod names;
 mod process_file;
@@ -15,31 +16,32 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How often every process looks for markers that another has made: far within the deadline in which a suspended
-/// backend may still be sent to.
+/// Interval at which every process reads the markers of the others. It is far shorter than the time in which
+/// requests may still be sent to a backend after its suspension.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the operators want, by the markers, and who else is there.
+/// The state that operators have set through the markers, and the number of other processes.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ControlState {
-    /// Names of the suspended backends.
+    /// The names of the suspended backends.
     pub suspended: BTreeSet<String>,
-    /// Clients are to be sent elsewhere.
+    /// Whether the proxy drains: clients are to use another proxy.
     pub is_draining: bool,
-    /// Other processes that live and serve.
+    /// The number of other live processes that serve clients.
     pub other_processes: u32,
-    /// Other processes that live and do not serve yet: they hold descriptors already.
+    /// The number of other live processes that do not serve yet but hold descriptors already.
     pub starting_processes: u32,
 }
 
-/// The processes of one proxy, by the folder that they share.
+/// The group of the processes that act as one proxy and share a folder.
 pub struct ProcessGroup {
     folder: Option<PathBuf>,
     own_file: OnceCell<ProcessFile>,
 }
 
 impl ProcessGroup {
-    /// The folder below the one for temporary files. Where that is not known, no marker can be made.
+    /// Creates a process group whose folder is below the one for temporary files. Without the latter, no
+    /// marker can be written.
     pub fn new(temporary_folder: Option<PathBuf>) -> Self {
         ProcessGroup {
             folder: temporary_folder.map(|folder| folder.join(names::FOLDER)),
@@ -47,19 +49,19 @@
         }
     }
 
-    /// From now on this process counts as one that starts.
+    /// Announces this process to the others as starting.
     pub fn announce_start(&self) -> io::Result<()> {
         if self.own_file.get().is_some() {
             return Ok(());
         }
         let folder = self.folder()?;
         fs::create_dir_all(folder)?;
-        // A process joins once; a second file would count as another process.
+        // A process has one file; a second one would count as another process.
         let _ = self.own_file.set(ProcessFile::create(folder)?);
         Ok(())
     }
 
-    /// From now on this process counts as one that serves.
+    /// Announces this process to the others as serving.
     pub fn join(&self) -> io::Result<()> {
         self.announce_start()?;
         match self.own_file.get() {
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Tells the other processes which version of the settings is in force in this one.
+    /// Publishes the version of the settings in force in this process.
     pub fn publish_version(&self, version: u64) -> io::Result<()> {
         match self.own_file.get() {
             Some(own) => own.publish_version(version),
@@ -76,7 +78,7 @@
         }
     }
 
-    /// The processes that live, by their ids, each with the version that it has published, if it has.
+    /// Returns the live serving processes by their ids, each with the version that it has published, if any.
     pub fn versions(&self) -> io::Result<BTreeMap<u32, Option<u64>>> {
         let mut versions = BTreeMap::new();
         for entry in fs::read_dir(self.folder()?)? {
@@ -90,17 +92,18 @@
         Ok(versions)
     }
 
-    /// Marks a backend as suspended, or takes the marker away.
+    /// Creates or removes the marker of a suspended backend.
     pub fn set_suspended(&self, backend: &str, is_suspended: bool) -> io::Result<()> {
         self.set_marker(&names::suspended(backend), is_suspended)
     }
 
-    /// Marks the proxy as draining, or takes the marker away.
+    /// Creates or removes the marker of a draining proxy.
     pub fn set_draining(&self, is_draining: bool) -> io::Result<()> {
         self.set_marker(names::DRAIN, is_draining)
     }
 
-    /// The markers as they stand. What is no marker is ignored; a folder that nobody has made yet holds none.
+    /// Reads the markers. Files with other names are ignored, and a folder that does not exist yet counts as
+    /// empty.
     pub fn control_state(&self) -> io::Result<ControlState> {
         let mut state = ControlState::default();
         let entries = match self.folder.as_ref().map(fs::read_dir) {
@@ -126,7 +129,8 @@
         Ok(state)
     }
 
-    /// Whether a file is that of another process, which lives.
+    /// Checks whether a file belongs to another process that is alive, and removes it if the process has
+    /// ended.
     fn check_other_alive(&self, entry: &fs::DirEntry) -> bool {
         !self.is_own(&entry.file_name()) && check_alive(&entry.path())
     }
--- a/crates/proxy/src/process_group/tests.rs
+++ b/crates/proxy/src/process_group/tests.rs
@@ -1,9 +1,12 @@
-//! Unit tests of the shared folder.
+//! Unit tests of the shared folder of a process group.
 
 use super::names::FOLDER;
-use super::*;
+use super::{ControlState, ProcessGroup};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fs;
+use std::path::PathBuf;
 
-/// A folder of its own, removed at the end.
+/// A temporary folder for one test, removed when dropped.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -25,7 +28,7 @@
     let folder = TestFolder::new("markers");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
     assert_eq!(one.control_state().expect("readable"), ControlState::default());
-    one.set_suspended("../s-1/é", false).expect("there is none");
+    one.set_suspended("../s-1/é", false).expect("removing a missing marker succeeds");
     for _ in 0..2 {
         one.set_suspended("../s-1/é", true).expect("writable");
         one.set_draining(true).expect("writable");
@@ -52,7 +55,7 @@
     drop(one);
     assert_eq!(others(&other), 0);
     let left = fs::read_dir(folder.0.join(FOLDER)).expect("readable").count();
-    assert_eq!(left, 1, "its own");
+    assert_eq!(left, 1, "only its own file is left");
 }
 
 #[test]
@@ -68,24 +71,24 @@
     assert_eq!(other.versions().expect("readable"), BTreeMap::new());
     one.join().expect("writable");
     assert_eq!((others(&one), others(&other)), ((0, 0), (1, 0)));
-    // One that ends before it serves leaves nothing.
+    // A process that ends before it serves leaves no file.
     other.announce_start().expect("writable");
     assert_eq!(others(&one), (0, 1));
     drop(other);
     assert_eq!(others(&one), (0, 0));
     let left = fs::read_dir(folder.0.join(FOLDER)).expect("readable").count();
-    assert_eq!(left, 1, "its own");
+    assert_eq!(left, 1, "only its own file is left");
 }
 
 #[test]
 fn live_processes_see_published_versions() {
     let folder = TestFolder::new("versions");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
-    one.publish_version(7).expect("there is no file yet");
+    one.publish_version(7).expect("without a file, publishing does nothing");
     one.join().expect("writable");
     fs::write(folder.0.join(FOLDER).join("process-9-9"), "00000000000000000009").expect("writable");
     let seen = |group: &ProcessGroup| group.versions().expect("readable").into_values().collect::<Vec<_>>();
-    assert_eq!(seen(&other), [None], "not published, and the dead one does not count");
+    assert_eq!(seen(&other), [None], "no version published; the file of an ended process is ignored");
     for version in [12, 9] {
         one.publish_version(version).expect("writable");
         assert_eq!((seen(&one), seen(&other)), (vec![Some(version)], vec![Some(version)]));
@@ -108,21 +111,22 @@
     assert_eq!((state.suspended.len(), state.is_draining, state.other_processes), (1, false, 0));
     let blocked = ProcessGroup::new(Some(folder.0.join(FOLDER).join("old.tmp")));
     assert!(blocked.set_suspended("s-1", true).is_err() && blocked.control_state().is_err());
-    assert!(ProcessGroup::new(None).set_draining(true).is_err(), "a marker that stands nowhere");
+    assert!(ProcessGroup::new(None).set_draining(true).is_err(), "no folder for markers");
 }
 
-/// A folder as every version up to now has written it: other versions run beside this one.
+/// Guards against changes of the names and contents that this version reads: processes of other versions run
+/// at the same time and write the same files.
 #[test]
 fn folder_written_by_another_version_is_read() {
     let folder = TestFolder::new("versions-beside");
     let shared = folder.0.join("heathroad");
     fs::create_dir_all(&shared).expect("a folder");
     fs::write(shared.join("drain"), "").expect("writable");
-    // "s-1" and "é", byte by byte.
+    // The bytes of "s-1" and "é" in hexadecimal.
     fs::write(shared.join("suspended-732d31"), "").expect("writable");
     fs::write(shared.join("suspended-c3a9"), "").expect("writable");
     let process = fs::File::create(shared.join("process-4711-1764572400000000000")).expect("writable");
-    process.lock().expect("nobody else has it");
+    process.lock().expect("no other process holds the lock");
     fs::write(shared.join("process-4711-1764572400000000000"), "00000000000000000042").expect("writable");
 
     let group = ProcessGroup::new(Some(folder.0.clone()));
@@ -135,7 +139,8 @@
     assert_eq!(group.versions().expect("readable"), BTreeMap::from([(4711, Some(42))]));
 }
 
-/// The other way round: what this version writes has the names and contents that others read.
+/// Guards against changes of the names and contents that this version writes: processes of other versions
+/// read them.
 #[test]
 fn written_folder_is_readable_by_other_versions() {
     let folder = TestFolder::new("written-for-others");
