--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -1,5 +1,5 @@
-//! The admin API: operators suspend backends, drain the proxy, and ask for its readiness and settings. It hands calls
-//! over and decides nothing.
+//! The admin API, with which operators suspend backends, drain the proxy, and query its readiness and
+//! settings. It passes requests on to the dispatcher and the process group and decides nothing itself.
 
 mod routes;
 
@@ -26,32 +26,34 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// Connections at once. Whoever holds one without a complete call gives way to the next caller, the oldest first.
+/// Maximum number of concurrent connections. Beyond it, a new connection closes the oldest one that has not
+/// sent a complete request yet.
 pub const MAX_CONNECTIONS: usize = 8;
-/// A call must have come completely by then.
-const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest head of a call in bytes, the least that the HTTP library takes.
+/// Time limit for a connection, from its accept to the end of its response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum length of a request head in bytes. This is the lowest limit that the HTTP library accepts.
 const MAX_HEAD_BYTES: usize = 8192;
-/// Longest body of a call in bytes; it says nothing.
+/// Maximum length of a request body in bytes. Bodies are read and ignored.
 const MAX_BODY_BYTES: usize = 4096;
-/// Pause when nothing can be accepted.
+/// Delay after a failed accept.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
 type AdminResponse = Response<Full<Bytes>>;
 
-/// The admin API, and what its calls act on.
+/// The admin API server, with the state that its requests read and change.
 pub struct AdminServer {
     dispatcher: Rc<Dispatcher>,
     process_group: ProcessGroup,
     reload_status: Rc<ReloadStatus>,
-    /// Whether the markers could not be read when last polled.
+    /// Whether the last attempt to read the markers failed.
     are_markers_unreadable: Cell<bool>,
-    /// Whether clients are served here: not yet, or not any more.
+    /// Whether this process serves clients. `false` before the start is complete and after a planned stop has
+    /// begun.
     is_serving: Cell<bool>,
 }
 
 impl AdminServer {
-    /// An admin API for the dispatcher. What is marked already holds from now on.
+    /// Creates the admin API server, announces the start of this process, and applies the existing markers.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         process_group: ProcessGroup,
@@ -65,58 +67,66 @@
             is_serving: Cell::new(false),
         });
         if let Err(error) = server.process_group.announce_start() {
-            log!("markers: {error}; other processes will not know that this one starts");
+            log!("markers: cannot announce the start of this process to the others: {error}");
         }
         server.apply_markers();
         server
     }
 
-    /// From now on clients are served here, and this process counts as one that serves.
+    /// Marks this process as serving, for the readiness check and for the other processes.
     pub fn start_serving(&self) {
         self.is_serving.set(true);
         if let Err(error) = self.process_group.join() {
-            log!("markers: {error}; other processes will not know of this one");
+            log!("markers: cannot announce to the other processes that this one serves: {error}");
         }
     }
 
-    /// From now on the process is not ready any more.
+    /// Makes the readiness check fail from now on.
     pub fn stop_serving(&self) {
         self.is_serving.set(false);
     }
 
-    /// Tells the balancer what the markers say. Markers that can't be read leave all as it was.
+    /// Applies the markers to the balancer. Returns `false` and changes nothing if they can't be read.
     pub fn apply_markers(&self) -> bool {
         let control = self.process_group.control_state();
         let were_unreadable = self.are_markers_unreadable.replace(control.is_err());
         match control {
             Ok(control) => self.dispatcher.apply_control_state(&control),
-            Err(error) if !were_unreadable => log!("markers: {error}; what held continues"),
+            Err(error) if !were_unreadable => {
+                log!("markers: cannot be read: {error}; the state applied last stays in force");
+            }
             Err(_) => {}
         }
-        // A version that can't be published is shown as none by the others, and published the next time.
+        // If publishing fails, the other processes show no version for this one, and the next call tries
+        // again.
         let _ = self.process_group.publish_version(self.dispatcher.settings_version());
         !self.are_markers_unreadable.get()
     }
 
-    /// Takes calls for ever.
+    /// Accepts and serves connections forever.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let mut connections = JoinSet::new();
-        let mut by_age = VecDeque::<AbortHandle>::new();
+        let mut oldest_first = VecDeque::<AbortHandle>::new();
         loop {
             tokio::select! {
-                Some(_) = connections.join_next() => by_age.retain(|connection| !connection.is_finished()),
+                Some(_) = connections.join_next() => {
+                    oldest_first.retain(|connection| !connection.is_finished());
+                }
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => {
-                        if by_age.len() >= MAX_CONNECTIONS {
-                            close_oldest(&mut by_age);
+                        if oldest_first.len() >= MAX_CONNECTIONS {
+                            close_oldest(&mut oldest_first);
                         }
-                        by_age.push_back(connections.spawn_local(self.clone().serve_connection(stream)));
-                        // It may hold its call already, and must not give way to the next before that is seen.
+                        oldest_first
+                            .push_back(connections.spawn_local(self.clone().serve_connection(stream)));
+                        // The connection may hold its request already. Lets its task read it before the next
+                        // connection can replace it.
                         tokio::task::yield_now().await;
                     }
-                    // Out of descriptors or other: callers are waiting, and what is short comes free again.
+                    // No error ends the loop, whether out of descriptors or other: callers are waiting, and
+                    // the resource that is short becomes available again.
                     Err(_) => {
-                        close_oldest(&mut by_age);
+                        close_oldest(&mut oldest_first);
                         sleep(ACCEPT_ERROR_PAUSE).await;
                     }
                 }
@@ -126,21 +136,22 @@
 
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(async |request| {
-            let mut response = self.call(request).await;
+            let mut response = self.handle_request(request).await;
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             Ok::<_, Infallible>(response)
         });
         let mut builder = http1::Builder::new();
         let builder = builder.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
-        // However it ends, the call has been answered or its caller has disconnected.
-        let _ = timeout(CALL_TIMEOUT, builder.serve_connection(TokioIo::new(stream), service)).await;
+        // The result is ignored: the request was answered, the caller has disconnected, or its time has run
+        // out.
+        let _ = timeout(REQUEST_TIMEOUT, builder.serve_connection(TokioIo::new(stream), service)).await;
     }
 
-    async fn call(&self, request: Request<Incoming>) -> AdminResponse {
+    async fn handle_request(&self, request: Request<Incoming>) -> AdminResponse {
         let (head, body) = request.into_parts();
         let route = match Route::parse(&head.method, head.uri.path()) {
             Ok(route) => route,
-            Err(error) => return route_error(&error),
+            Err(error) => return route_error_response(&error),
         };
         if let Err(error) = Limited::new(body, MAX_BODY_BYTES).collect().await {
             let is_too_long = error.is::<http_body_util::LengthLimitError>();
@@ -148,18 +159,18 @@
             return text_response(status, "a call has no body");
         }
         match route {
-            Route::Ready => self.ready(),
-            Route::Settings => self.settings(),
+            Route::Ready => self.readiness_response(),
+            Route::Settings => self.settings_response(),
             Route::Discovery => json_response(self.dispatcher.discovery_json()),
             Route::SetSuspended { backend, is_suspended } => self.set_suspended(backend, is_suspended),
             Route::SetDraining { is_draining } => {
-                let what = if is_draining { "drain" } else { "activate" };
-                self.confirm(self.process_group.set_draining(is_draining), what, "proxy")
+                let action = if is_draining { "drain" } else { "activate" };
+                self.control_response(self.process_group.set_draining(is_draining), action, "proxy")
             }
         }
     }
 
-    fn ready(&self) -> AdminResponse {
+    fn readiness_response(&self) -> AdminResponse {
         if self.dispatcher.has_ready_endpoint() && self.is_serving.get() {
             text_response(StatusCode::OK, "ready")
         } else {
@@ -167,8 +178,9 @@
         }
     }
 
-    /// Which settings are in force here and in the other processes of this proxy, and the last that were rejected.
-    fn settings(&self) -> AdminResponse {
+    /// Returns the settings versions in force in this process and in the others of the proxy, and the last
+    /// rejected configuration.
+    fn settings_response(&self) -> AdminResponse {
         self.apply_markers();
         let processes = self.process_group.versions().unwrap_or_default();
         let version = self.dispatcher.settings_version();
@@ -176,35 +188,38 @@
     }
 
     fn set_suspended(&self, backend: Option<String>, is_suspended: bool) -> AdminResponse {
-        // The other process may have been notified of more.
+        // Another process may have marked a backend as suspended that this one doesn't know yet.
         self.apply_markers();
         let Some(name) = backend.filter(|name| self.dispatcher.knows_backend(name)) else {
             return text_response(StatusCode::NOT_FOUND, "no such backend");
         };
-        let what = if is_suspended { "suspend" } else { "resume" };
-        self.confirm(self.process_group.set_suspended(&name, is_suspended), what, &name)
+        let action = if is_suspended { "suspend" } else { "resume" };
+        self.control_response(self.process_group.set_suspended(&name, is_suspended), action, &name)
     }
 
-    /// A success once the marker stands and the balancer has applied it.
-    fn confirm(&self, marked: io::Result<()>, what: &str, whom: &str) -> AdminResponse {
-        if let Err(error) = &marked {
-            log!("{what} {whom}: not done, its marker failed: {error}");
+    /// Returns a success response if the marker was changed and the balancer has applied it.
+    fn control_response(&self, marker_result: io::Result<()>, action: &str, target: &str) -> AdminResponse {
+        if let Err(error) = &marker_result {
+            log!("{action} {target}: not done, cannot change its marker: {error}");
         }
-        if marked.is_ok() && self.apply_markers() {
-            text_response(StatusCode::OK, &format!("{what} {whom}: done"))
+        if marker_result.is_ok() && self.apply_markers() {
+            text_response(StatusCode::OK, &format!("{action} {target}: done"))
         } else {
-            text_response(StatusCode::INTERNAL_SERVER_ERROR, &format!("{what} {whom}: not done, see the log"))
+            text_response(
+                StatusCode::INTERNAL_SERVER_ERROR,
+                &format!("{action} {target}: not done, see the log"),
+            )
         }
     }
 }
 
-fn close_oldest(by_age: &mut VecDeque<AbortHandle>) {
-    if let Some(oldest) = by_age.pop_front() {
+fn close_oldest(oldest_first: &mut VecDeque<AbortHandle>) {
+    if let Some(oldest) = oldest_first.pop_front() {
         oldest.abort();
     }
 }
 
-fn route_error(error: &RouteError) -> AdminResponse {
+fn route_error_response(error: &RouteError) -> AdminResponse {
     let RouteError::WrongMethod { allowed } = error else {
         return text_response(StatusCode::NOT_FOUND, "no such call");
     };
--- a/crates/proxy/src/downstream/accept_statistics.rs
+++ b/crates/proxy/src/downstream/accept_statistics.rs
@@ -1,4 +1,4 @@
-//! What becomes of connections while there is no space: counts for the log.
+//! Counts of accepted, evicted and rejected connections, logged while the connection limit is reached.
 
 use super::connection_table::IdleKind;
 use crate::log::log;
@@ -7,21 +7,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// While there is no space, a line is logged so often at the most.
+/// Minimum interval between two log lines about the connection limit.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What became of connections.
+/// Counts of what happened to client connections and their requests.
 #[derive(Debug, Clone, Copy, Default)]
 struct AcceptCounts {
     accepted: u64,
     evicted_closing: u64,
-    evicted_late: u64,
+    evicted_stalled: u64,
     evicted_rejected: u64,
-    evicted_used: u64,
+    evicted_served: u64,
     evicted_arriving: u64,
-    /// Connections that were to give way and stayed, since a request was on its way.
+    /// Connections that were chosen for eviction and kept because a request was arriving on them.
     kept: u64,
-    /// Requests that were rejected for want of space.
+    /// Requests that were rejected because too many were in flight.
     rejected: u64,
     errors: u64,
     longest_without_accept: Duration,
@@ -31,9 +31,9 @@
     fn add(&mut self, other: AcceptCounts) {
         self.accepted += other.accepted;
         self.evicted_closing += other.evicted_closing;
-        self.evicted_late += other.evicted_late;
+        self.evicted_stalled += other.evicted_stalled;
         self.evicted_rejected += other.evicted_rejected;
-        self.evicted_used += other.evicted_used;
+        self.evicted_served += other.evicted_served;
         self.evicted_arriving += other.evicted_arriving;
         self.kept += other.kept;
         self.rejected += other.rejected;
@@ -44,51 +44,54 @@
 
 impl AcceptCounts {
     fn evicted(&self) -> u64 {
-        let in_good_time = self.evicted_closing + self.evicted_late + self.evicted_rejected;
-        in_good_time + self.evicted_used + self.evicted_arriving
+        let inactive = self.evicted_closing + self.evicted_stalled + self.evicted_rejected;
+        inactive + self.evicted_served + self.evicted_arriving
     }
 }
 
 impl fmt::Display for AcceptCounts {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} accepted, {} evicted", self.accepted, self.evicted())?;
-        write!(formatter, " ({} closing, {} late,", self.evicted_closing, self.evicted_late)?;
-        write!(formatter, " {} rejected before, {} idle,", self.evicted_rejected, self.evicted_used)?;
-        write!(formatter, " {} arriving),", self.evicted_arriving)?;
-        write!(formatter, " {} kept with a request on its way,", self.kept)?;
+        write!(formatter, " ({} closing, {} stalled,", self.evicted_closing, self.evicted_stalled)?;
+        write!(formatter, " {} rejected earlier, {} idle,", self.evicted_rejected, self.evicted_served)?;
+        write!(formatter, " {} new or sending),", self.evicted_arriving)?;
+        write!(formatter, " {} kept because a request was arriving,", self.kept)?;
         write!(formatter, " {} requests rejected, {} errors,", self.rejected, self.errors)?;
-        write!(formatter, " longest without an accept {} ms", self.longest_without_accept.as_millis())
+        write!(formatter, " longest time without an accept {} ms", self.longest_without_accept.as_millis())
     }
 }
 
-/// Counts what becomes of connections, and logs it while there is no space and at the end.
+/// Counts what happens to client connections. Logs the counts while the connection limit is reached, and at
+/// the end.
 #[derive(Default)]
 pub(super) struct AcceptStatistics {
-    /// Since the last line.
+    /// Counts since the last log line.
     recent: Cell<AcceptCounts>,
+    /// Counts up to the last log line.
     total: Cell<AcceptCounts>,
-    /// Whether there was no space at some time since the last line.
+    /// Whether the connection limit was reached since the last log line.
     was_full: Cell<bool>,
+    /// When the last line was logged.
     logged_at: Cell<Option<Instant>>,
-    /// Since when nothing is accepted for want of space.
+    /// Since when no connection can be accepted because the limit is reached.
     blocked_since: Cell<Option<Instant>>,
 }
 
 impl AcceptStatistics {
     pub(super) fn record_accepted(&self) {
-        self.end_block();
+        self.end_blocked_interval();
         self.count(|counts| counts.accepted += 1);
     }
 
-    /// There was no space without an eviction.
+    /// Counts an evicted connection. An eviction implies that the limit was reached.
     pub(super) fn record_evicted(&self, kind: IdleKind) {
         self.was_full.set(true);
         self.count(|counts| match kind {
             IdleKind::Closing => counts.evicted_closing += 1,
-            IdleKind::Late => counts.evicted_late += 1,
+            IdleKind::Stalled => counts.evicted_stalled += 1,
             IdleKind::Rejected => counts.evicted_rejected += 1,
-            IdleKind::Used => counts.evicted_used += 1,
-            IdleKind::Arriving | IdleKind::Sending => counts.evicted_arriving += 1,
+            IdleKind::Served => counts.evicted_served += 1,
+            IdleKind::New | IdleKind::Sending => counts.evicted_arriving += 1,
         });
     }
 
@@ -106,33 +109,34 @@
         self.count(|counts| counts.errors += 1);
     }
 
-    /// Nothing is accepted now for want of space.
+    /// Records that no connection can be accepted now because the limit is reached.
     pub(super) fn record_blocked(&self) {
         self.was_full.set(true);
         let since = self.blocked_since.get().unwrap_or_else(Instant::now);
         self.blocked_since.set(Some(since));
     }
 
-    /// Logs what was counted since the last line, if that is long enough ago and there was no space since then.
-    pub(super) fn log_if_full(&self) {
+    /// Logs the counts since the last line, if [`LOG_INTERVAL`] has passed and the limit was reached since
+    /// then.
+    pub(super) fn log_recent_if_full(&self) {
         let is_due = self.logged_at.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL);
         if !is_due || !self.was_full.replace(false) {
             return;
         }
         self.logged_at.set(Some(Instant::now()));
-        self.note_block();
+        self.update_longest_without_accept();
         let recent = self.recent.take();
         self.accumulate(recent);
         log!("no space for clients: {recent}");
     }
 
-    /// Logs what was counted in all, if there ever was no space.
+    /// Logs the total counts, if the limit was ever reached.
     pub(super) fn log_total(&self) {
-        self.end_block();
+        self.end_blocked_interval();
         let was_full = self.was_full.get() || self.logged_at.get().is_some();
         self.accumulate(self.recent.take());
         if was_full {
-            log!("no space for clients, in all: {}", self.total.get());
+            log!("no space for clients, total: {}", self.total.get());
         }
     }
 
@@ -148,12 +152,12 @@
         self.total.set(total);
     }
 
-    fn end_block(&self) {
-        self.note_block();
+    fn end_blocked_interval(&self) {
+        self.update_longest_without_accept();
         self.blocked_since.set(None);
     }
 
-    fn note_block(&self) {
+    fn update_longest_without_accept(&self) {
         let Some(since) = self.blocked_since.get() else { return };
         self.count(|counts| {
             counts.longest_without_accept = counts.longest_without_accept.max(since.elapsed());
--- a/crates/proxy/src/process_group/tests.rs
+++ b/crates/proxy/src/process_group/tests.rs
@@ -1,31 +1,34 @@
-//! Unit tests of the shared folder.
+//! Unit tests of the shared folder of a process group.
 
 use super::names::FOLDER;
-use super::*;
+use super::{ControlState, ProcessGroup};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fs;
+use std::path::PathBuf;
 
-/// A folder of its own, removed at the end.
-struct Folder(PathBuf);
+/// A temporary folder for one test, removed when dropped.
+struct TestFolder(PathBuf);
 
-impl Folder {
+impl TestFolder {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("foldhitch-test-{name}-{}", std::process::id()));
         fs::create_dir_all(&path).expect("a folder");
-        Folder(path)
+        TestFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
 #[test]
-fn markers_are_made_and_removed_once_or_twice_and_every_process_sees_them() {
-    let folder = Folder::new("markers");
+fn markers_are_idempotent_and_seen_by_every_process() {
+    let folder = TestFolder::new("markers");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
     assert_eq!(one.control_state().expect("readable"), ControlState::default());
-    one.set_suspended("../s-1/é", false).expect("there is none");
+    one.set_suspended("../s-1/é", false).expect("removing a missing marker succeeds");
     for _ in 0..2 {
         one.set_suspended("../s-1/é", true).expect("writable");
         one.set_draining(true).expect("writable");
@@ -40,8 +43,8 @@
 }
 
 #[test]
-fn processes_that_live_see_each_other_and_what_the_dead_left_is_removed() {
-    let folder = Folder::new("live");
+fn live_processes_are_counted_and_stale_files_removed() {
+    let folder = TestFolder::new("live");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
     let others = |group: &ProcessGroup| group.control_state().expect("readable").other_processes;
     assert_eq!((others(&one), others(&other)), (0, 0));
@@ -52,12 +55,12 @@
     drop(one);
     assert_eq!(others(&other), 0);
     let left = fs::read_dir(folder.0.join(FOLDER)).expect("readable").count();
-    assert_eq!(left, 1, "its own");
+    assert_eq!(left, 1, "only its own file is left");
 }
 
 #[test]
-fn a_process_that_starts_is_seen_and_is_no_process_that_serves() {
-    let folder = Folder::new("starting");
+fn starting_process_is_not_counted_as_serving() {
+    let folder = TestFolder::new("starting");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
     let others = |group: &ProcessGroup| {
         let state = group.control_state().expect("readable");
@@ -68,24 +71,24 @@
     assert_eq!(other.versions().expect("readable"), BTreeMap::new());
     one.join().expect("writable");
     assert_eq!((others(&one), others(&other)), ((0, 0), (1, 0)));
-    // One that ends before it serves leaves nothing.
+    // A process that ends before it serves leaves no file.
     other.announce_start().expect("writable");
     assert_eq!(others(&one), (0, 1));
     drop(other);
     assert_eq!(others(&one), (0, 0));
     let left = fs::read_dir(folder.0.join(FOLDER)).expect("readable").count();
-    assert_eq!(left, 1, "its own");
+    assert_eq!(left, 1, "only its own file is left");
 }
 
 #[test]
-fn processes_that_live_see_the_versions_that_they_published() {
-    let folder = Folder::new("versions");
+fn live_processes_see_published_versions() {
+    let folder = TestFolder::new("versions");
     let [one, other] = [(); 2].map(|()| ProcessGroup::new(Some(folder.0.clone())));
-    one.publish_version(7).expect("there is no file yet");
+    one.publish_version(7).expect("without a file, publishing does nothing");
     one.join().expect("writable");
     fs::write(folder.0.join(FOLDER).join("process-9-9"), "00000000000000000009").expect("writable");
     let seen = |group: &ProcessGroup| group.versions().expect("readable").into_values().collect::<Vec<_>>();
-    assert_eq!(seen(&other), [None], "not published, and the dead one does not count");
+    assert_eq!(seen(&other), [None], "no version published; the file of an ended process is ignored");
     for version in [12, 9] {
         one.publish_version(version).expect("writable");
         assert_eq!((seen(&one), seen(&other)), (vec![Some(version)], vec![Some(version)]));
@@ -95,8 +98,8 @@
 }
 
 #[test]
-fn what_is_no_marker_is_ignored_and_what_fails_is_an_error() {
-    let folder = Folder::new("odd");
+fn unknown_files_are_ignored_and_io_errors_returned() {
+    let folder = TestFolder::new("odd");
     let group = ProcessGroup::new(Some(folder.0.clone()));
     group.set_suspended("s-1", true).expect("writable");
     for odd in
@@ -108,21 +111,22 @@
     assert_eq!((state.suspended.len(), state.is_draining, state.other_processes), (1, false, 0));
     let blocked = ProcessGroup::new(Some(folder.0.join(FOLDER).join("old.tmp")));
     assert!(blocked.set_suspended("s-1", true).is_err() && blocked.control_state().is_err());
-    assert!(ProcessGroup::new(None).set_draining(true).is_err(), "a marker that stands nowhere");
+    assert!(ProcessGroup::new(None).set_draining(true).is_err(), "no folder for markers");
 }
 
-/// A folder as every version up to now has written it: other versions run beside this one.
+/// Guards against changes of the names and contents that this version reads: processes of other versions run
+/// at the same time and write the same files.
 #[test]
-fn a_folder_written_by_another_version_is_read() {
-    let folder = Folder::new("versions-beside");
+fn folder_written_by_another_version_is_read() {
+    let folder = TestFolder::new("versions-beside");
     let shared = folder.0.join("heathroad");
     fs::create_dir_all(&shared).expect("a folder");
     fs::write(shared.join("drain"), "").expect("writable");
-    // "s-1" and "é", byte by byte.
+    // The bytes of "s-1" and "é" in hexadecimal.
     fs::write(shared.join("suspended-732d31"), "").expect("writable");
     fs::write(shared.join("suspended-c3a9"), "").expect("writable");
     let process = fs::File::create(shared.join("process-4711-1764572400000000000")).expect("writable");
-    process.lock().expect("nobody else has it");
+    process.lock().expect("no other process holds the lock");
     fs::write(shared.join("process-4711-1764572400000000000"), "00000000000000000042").expect("writable");
 
     let group = ProcessGroup::new(Some(folder.0.clone()));
@@ -135,10 +139,11 @@
     assert_eq!(group.versions().expect("readable"), BTreeMap::from([(4711, Some(42))]));
 }
 
-/// The other way round: what this version writes has the names and contents that others read.
+/// Guards against changes of the names and contents that this version writes: processes of other versions
+/// read them.
 #[test]
-fn a_folder_is_written_as_other_versions_read_it() {
-    let folder = Folder::new("written-for-others");
+fn written_folder_is_readable_by_other_versions() {
+    let folder = TestFolder::new("written-for-others");
     let group = ProcessGroup::new(Some(folder.0.clone()));
     group.set_suspended("s-1", true).expect("writable");
     group.set_draining(true).expect("writable");
