--- a/crates/balancer/src/stats/mod.rs
+++ b/crates/balancer/src/stats/mod.rs
@@ -3,7 +3,7 @@
 
 mod backoff;
 mod capped_mean;
-mod fading_peak;
+mod decaying_peak;
 mod latency_profile;
 mod load_window;
 mod low_discrepancy;
@@ -18,7 +18,7 @@
 
 pub use backoff::Backoff;
 use capped_mean::CappedMean;
-pub use fading_peak::FadingPeak;
+pub use decaying_peak::FadingPeak;
 pub use latency_profile::LatencyProfile;
 pub use load_window::LoadWindow;
 pub use low_discrepancy::even_phase;
