--- a/crates/balancer/src/collections/tenant_quotas.rs
+++ b/crates/balancer/src/collections/tenant_quotas.rs
@@ -20,7 +20,7 @@
     /// Returns what a request was charged.
     pub fn refund(&mut self, tenant: usize) {
         if let Some(bucket) = self.buckets.get_mut(tenant) {
-            bucket.give_back();
+            bucket.return_token();
         }
     }
 
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -4,9 +4,9 @@
 use crate::api::{Class, RequestId, UnservedReason};
 use crate::collections::{ByQuota, Quota, nearest_level, shared_levels};
 
-const SAME_WEIGHT: f64 = 1e-9; // weights no further apart share a slice
-const QUEUE_OBJECTIVE_FRACTION: f64 = 0.125; // of the objective that a request may wait in the first tier ...
-const QUEUE_OBJECTIVE_FRACTION_BEHIND: f64 = 0.5; // ... and in the tiers behind it
+const WEIGHT_TOLERANCE: f64 = 1e-9; // weights no further apart share a slice
+const QUEUE_TIME_FRACTION: f64 = 0.125; // of the objective that a request may wait in the first tier ...
+const QUEUE_TIME_FRACTION_INNER_TIER: f64 = 0.5; // ... and in the tiers behind it
 const MIN_QUOTA_BURST: f64 = 2.0;
 
 impl Policy {
@@ -21,20 +21,20 @@
     fn weight_of(&self, class: &Class) -> ByQuota<f64> {
         let classes = &self.settings.classes;
         let mean = classes.iter().map(|class| class.priority_weight).sum::<f64>() / classes.len() as f64;
-        let even = self.settings.objective.worst_class_weight;
-        let within = (1.0 - even) * class.priority_weight / mean.max(SAME_WEIGHT) + even;
+        let equal_weight = self.settings.objective.worst_class_weight;
+        let within = (1.0 - equal_weight) * class.priority_weight / mean.max(WEIGHT_TOLERANCE) + equal_weight;
         ByQuota { within, over: within * self.settings.over_quota_weight }
     }
 
     /// Cuts the limit into slices by the classes' weights. Calls in flight count, and what is queued waits
     /// on, in the slice of its weight; where there is none any more, in the nearest.
-    pub fn cut_slices(&mut self) {
+    pub fn rebuild_slices(&mut self) {
         let has_quotas = self.settings.tier == 0 && !self.settings.tenants.is_empty();
         let weights = self.settings.classes.iter().map(|class| self.weight_of(class));
         let within: Vec<f64> = weights.clone().map(|weight| weight.within).collect();
         let over: Vec<f64> = weights.map(|weight| weight.over).filter(|_| has_quotas).collect();
         // Requests over their tenant's quota claim nothing but what is left over and the floor of one slot.
-        let levels = shared_levels(&within, &over, SAME_WEIGHT);
+        let levels = shared_levels(&within, &over, WEIGHT_TOLERANCE);
         let queued = self.slices.replace(levels.iter().map(|level| level.share));
         let weights = self.classes.values().map(|class| self.weight_of(class));
         self.slices_of_class =
@@ -46,7 +46,7 @@
         queued.into_iter().for_each(|id| self.enqueue(id));
     }
 
-    pub fn free_slot(&mut self, class: usize, quota: Quota) {
+    pub fn release_slot(&mut self, class: usize, quota: Quota) {
         self.slices.end(self.slices_of_class[class][quota]);
         self.limit.end_call(class, quota);
     }
@@ -59,10 +59,10 @@
     }
 
     /// How long a request may wait; for all classes alike, or the longer wait would fill the whole queue.
-    pub fn queue_time(&self) -> f64 {
+    pub fn max_queue_time_ms(&self) -> f64 {
         let objectives = self.settings.classes.iter().map(|class| class.latency_objective_ms);
         let is_first_tier = self.settings.tier == 0;
-        let fraction = if is_first_tier { QUEUE_OBJECTIVE_FRACTION } else { QUEUE_OBJECTIVE_FRACTION_BEHIND };
+        let fraction = if is_first_tier { QUEUE_TIME_FRACTION } else { QUEUE_TIME_FRACTION_INNER_TIER };
         fraction * objectives.fold(f64::MAX, f64::min)
     }
 
@@ -116,7 +116,7 @@
 
     /// How long a rejected client should stay away; jittered, so that clients do not come back together.
     pub fn retry_after(&mut self, objective: f64) -> f64 {
-        let wait = objective * QUEUE_OBJECTIVE_FRACTION * (1.0 + self.rng.f64());
+        let wait = objective * QUEUE_TIME_FRACTION * (1.0 + self.rng.f64());
         let capabilities = &self.settings.capabilities;
         if capabilities.sends_retry_after { wait.min(capabilities.max_retry_after_ms) } else { 0.0 }
     }
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -7,9 +7,9 @@
 use crate::stats::PriorMean;
 
 const MAX_POLL_DELAY_MS: f64 = NOTIFICATION_DEADLINE_MS / 3.0; // the rest is for the polls themselves
-const POLL_BACKOFF: f64 = 0.5; // share of the longest delay after the first failure ...
-const MAX_POLL_DOUBLINGS: u32 = 1; // ... and all of it from the second on
-const POLL_JITTER: f64 = 0.5;
+const POLL_RETRY_BASE_FRACTION: f64 = 0.5; // share of the longest delay after the first failure ...
+const MAX_POLL_RETRY_DOUBLINGS: u32 = 1; // ... and all of it from the second on
+const POLL_JITTER_FRACTION: f64 = 0.5;
 
 impl Policy {
     /// Schedules a poll after a share of the longest delay.
@@ -29,8 +29,8 @@
     pub fn on_endpoint_list(&mut self, kind: EndpointListKind, endpoints: Vec<EndpointInfo>) {
         if kind == EndpointListKind::Failed {
             // Jittered, so that instances that failed together do not poll together again.
-            let share = self.poll_backoff.next(POLL_BACKOFF, MAX_POLL_DOUBLINGS);
-            let jitter = 1.0 - POLL_JITTER * self.rng.f64();
+            let share = self.poll_backoff.next(POLL_RETRY_BASE_FRACTION, MAX_POLL_RETRY_DOUBLINGS);
+            let jitter = 1.0 - POLL_JITTER_FRACTION * self.rng.f64();
             return self.schedule_poll(share * jitter);
         }
         self.poll_backoff.reset();
@@ -52,7 +52,7 @@
             self.reset_backend(id);
         }
         self.backends.entry(id).or_default().endpoint = endpoint;
-        self.release_idle_connections(id);
+        self.close_idle_connections(id);
     }
 
     /// A new process of a backend: nothing known of the old one holds but where it is.
@@ -88,14 +88,14 @@
     }
 
     /// Backends that take requests by the list and are not suspended, in ring order.
-    pub fn members(&self) -> impl Iterator<Item = (BackendId, &Backend)> {
+    pub fn ready_backends(&self) -> impl Iterator<Item = (BackendId, &Backend)> {
         let ready = self.backends.iter().filter(|(_, backend)| backend.endpoint.phase == Phase::Ready);
         let members = ready.filter(|(id, _)| !self.suspensions.is_suspended(**id));
         members.map(|(&id, backend)| (id, backend))
     }
 
     /// Closes idle connections to a draining backend: at the notice, and after each outcome there.
-    pub fn release_idle_connections(&mut self, id: BackendId) {
+    pub fn close_idle_connections(&mut self, id: BackendId) {
         let is_leaving = self.backends.get(&id).is_some_and(|b| b.endpoint.phase != Phase::Ready);
         if is_leaving && self.settings.guarantees.idle_release_ms > 0.0 {
             self.actions.push(Action::CloseIdleConnections { backend: id });
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::api::*;
 use crate::collections::{ByQuota, KeyedQueues, RingSubset, Slices, SlotTable, Suspensions, TenantQuotas};
-use crate::stats::{Backoff, FadingPeak, MovingAverage, PiController, TokenBucket};
+use crate::stats::{Backoff, DecayingPeak, MovingAverage, PiController, TokenBucket};
 use concurrency_limit::ConcurrencyLimit;
 use state::{Backend, Request};
 use std::collections::{BTreeMap, HashMap};
@@ -25,7 +25,7 @@
 const PERIODIC_TIMER: TimerToken = TimerToken(0);
 const POLL_TIMER: TimerToken = TimerToken(1);
 const PERIOD_TICKS: f64 = 10.0; // often enough for queues, rare enough to be cheap
-const PEAK_MEMORY_MS: f64 = 5000.0; // for so long a peak of calls in flight keeps the subset wide
+const PEAK_IN_FLIGHT_DECAY_MS: f64 = 5000.0; // for so long a peak of calls in flight keeps the subset wide
 
 /// The state of a balancer instance, which only its own files change. Times are in milliseconds.
 #[derive(Default)]
@@ -47,20 +47,20 @@
     suspensions: Suspensions<BackendId>, // by the operators
     subset: RingSubset<BackendId>,       // of the backends that take requests
     subset_size: f64,
-    mean_weight: f64,             // of the ring's backends
-    warm_backends: f64,           // in the ring, each counted by its warm-up fraction
-    spillover: PiController,      // share of calls that leaves the zone
-    local_excess: MovingAverage,  // latency over the baseline, in objectives, in this zone ...
-    remote_excess: MovingAverage, // ... and outside of it
+    mean_weight: f64,                     // of the ring's backends
+    warm_capacity: f64,                   // in the ring, each counted by its warm-up fraction
+    spillover: PiController,              // share of calls that leaves the zone
+    local_excess_latency: MovingAverage,  // latency over the baseline, in objectives, in this zone ...
+    remote_excess_latency: MovingAverage, // ... and outside of it
     key_queues: KeyedQueues<RequestId>,
     slices_of_class: Vec<ByQuota<usize>>, // by class slot
     tenant_quotas: TenantQuotas,
     retry_budget: TokenBucket,
-    peak_in_flight: FadingPeak,
-    error_rate: MovingAverage,  // over all backends
-    last_response_at: f64,      // of any backend
-    answer_rate: MovingAverage, // of a warm backend, a millisecond ...
-    proven_rate: FadingPeak,    // ... and the most of it
+    peak_in_flight: DecayingPeak,
+    error_rate: MovingAverage,        // over all backends
+    last_response_at: f64,            // of any backend
+    response_rate: MovingAverage,     // of a warm backend, a millisecond ...
+    peak_response_rate: DecayingPeak, // ... and the most of it
 }
 
 impl Policy {
@@ -69,7 +69,7 @@
         let rng = fastrand::Rng::with_seed(seed);
         let retry_budget = TokenBucket::with_tokens(retry::MIN_RETRY_BURST);
         let mut policy = Policy { rng, retry_budget, process_count: 1.0, ..Policy::default() };
-        policy.put_in_force(initial);
+        policy.apply_settings(initial);
         policy
     }
 
@@ -99,7 +99,7 @@
     pub fn start(&mut self, now: f64) {
         self.last_periodic_run_at = now;
         self.last_response_at = now;
-        self.actions.push(Action::SetTimer { delay_ms: self.period(), token: PERIODIC_TIMER });
+        self.actions.push(Action::SetTimer { delay_ms: self.period_ms(), token: PERIODIC_TIMER });
         if self.settings.discovery_mode == DiscoveryMode::Poll {
             // Instances start together: the first poll is spread so that discovery is not overrun.
             let share = self.rng.f64();
@@ -108,22 +108,22 @@
     }
 
     /// Time between two periodic runs.
-    fn period(&self) -> f64 {
+    fn period_ms(&self) -> f64 {
         (self.settings.tick_ms * PERIOD_TICKS).max(1.0)
     }
 
     fn run_periodic(&mut self) {
-        self.actions.push(Action::SetTimer { delay_ms: self.period(), token: PERIODIC_TIMER });
+        self.actions.push(Action::SetTimer { delay_ms: self.period_ms(), token: PERIODIC_TIMER });
         let passed = (self.now - self.last_periodic_run_at).max(0.0);
         self.last_periodic_run_at = self.now;
         let members = self.subset.members().iter();
         let warm: f64 = members.map(|id| self.warm_up_fraction(&self.backends[id])).sum();
         self.limit.advance(passed, warm.max(1.0));
         self.suspensions.forget_resumed(self.now, self.settings.guarantees.warm_up_ms);
-        self.follow_warm_backends();
+        self.scale_limit_to_warm_capacity();
         self.update_spillover(passed);
         self.resize_subset(passed);
-        self.peak_in_flight.record_after(self.slices.in_flight(), passed, PEAK_MEMORY_MS);
+        self.peak_in_flight.record_after(self.slices.in_flight(), passed, PEAK_IN_FLIGHT_DECAY_MS);
         self.run_key_queues();
         self.release_overdue_slots();
         self.expire_or_dispatch_queued();
--- a/crates/balancer/src/policy/outlier_detection.rs
+++ b/crates/balancer/src/policy/outlier_detection.rs
@@ -8,27 +8,27 @@
 
 const EJECTION_BASE_MS: f64 = 2000.0; // doubles with each probe that fails ...
 const MAX_EJECTION_DOUBLINGS: u32 = 3; // ... up to so many times
-const NON_IDEMPOTENT_BASE_MS: f64 = 8000.0; // its probe costs a request; a wrong ejection ends with an answer
-const MAX_NON_IDEMPOTENT_DOUBLINGS: u32 = 1;
+const NON_IDEMPOTENT_EJECTION_BASE_MS: f64 = 8000.0; // its probe costs a request; a wrong ejection ends with an answer
+const MAX_NON_IDEMPOTENT_EJECTION_DOUBLINGS: u32 = 1;
 const MAX_EJECTED_FRACTION: f64 = 0.5; // of the ring: beyond it the fault is shared, and no backend's own
 const ERROR_WEIGHT: f64 = 0.125; // of one outcome in a backend's error rate
 const CONNECT_FAILURE_WEIGHT: f64 = 0.375;
-const RECOVERY_WEIGHT: f64 = 0.5; // of a probe that is served
+const PROBE_SUCCESS_WEIGHT: f64 = 0.5; // of a probe that is served
 const OVERALL_ERROR_WEIGHT: f64 = 0.02;
 const HEALTHY_ERROR_RATE: f64 = 0.125;
 const RECOVERED_ERROR_RATE: f64 = 0.15;
 const EJECTION_ERROR_RATE: f64 = 0.35;
-const ERROR_RATE_OVER_OTHERS: f64 = 3.0; // times the others' error rate, else the fault is shared
+const MIN_ERROR_RATE_RATIO: f64 = 3.0; // times the others' error rate, else the fault is shared
 const EJECTION_RELATIVE_LATENCY: f64 = 2.5; // mean latency over all backends' at which one has to recover
 const MIN_LATENCY_SAMPLES: f64 = 8.0;
 const MAX_LATENCY_SAMPLES: f64 = 16.0;
 const PRIOR_LATENCY_SAMPLES: f64 = 4.0; // a new backend counts as average for so many responses
 const OVERALL_LATENCY_WEIGHT: f64 = 0.02;
 const EXCESS_LATENCY_WEIGHT: f64 = 0.1;
-const MISSED_RESPONSES: f64 = 8.0; // by Little's law, before silence is unresponsiveness and not a pause
-const MIN_SILENT_MEANS: f64 = 2.0;
-const MAX_SILENCE_OF_OTHERS: f64 = 0.25; // of a backend's silence, else all are silent
-const MAX_SLOT_MEANS: f64 = 4.0; // that a call may hold a slot: of an exponential 2 in 100 take longer
+const MIN_MISSED_RESPONSES: f64 = 8.0; // by Little's law, before silence is unresponsiveness and not a pause
+const MIN_SILENCE_LATENCIES: f64 = 2.0;
+const MAX_SILENCE_RATIO_OF_OTHERS: f64 = 0.25; // of a backend's silence, else all are silent
+const MAX_SLOT_HOLD_LATENCIES: f64 = 4.0; // that a call may hold a slot: of an exponential 2 in 100 take longer
 
 impl Policy {
     /// Records what the outcome of a call says of its backend and of the limit.
@@ -69,22 +69,24 @@
         let ratio = self.record_latency(id, call.class, latency);
         self.error_rate.update(0.0, OVERALL_ERROR_WEIGHT);
         let Some(backend) = self.backends.get_mut(&id) else { return };
-        let weight = if backend.health[None].ejection.is_active() { RECOVERY_WEIGHT } else { ERROR_WEIGHT };
+        let weight =
+            if backend.health[None].ejection.is_active() { PROBE_SUCCESS_WEIGHT } else { ERROR_WEIGHT };
         backend.error_rate.update(0.0, weight);
-        if !backend.recovers(call.sent_at, ratio) {
+        if !backend.end_ejection_if_recovered(call.sent_at, ratio) {
             self.eject_if_slow(id);
         }
     }
 
     /// Records a latency at its zone and its backend; returns its ratio to the mean of its class.
     fn record_latency(&mut self, id: BackendId, class: usize, latency: f64) -> f64 {
-        self.limit.mean_latency.start_or_update(latency, OVERALL_LATENCY_WEIGHT);
+        self.limit.mean_latency.init_or_update(latency, OVERALL_LATENCY_WEIGHT);
         let class = &self.limit.classes[class];
         let ratio = class.profile.ratio_to_mean(latency, MAX_LATENCY_RATIO);
         let excess = (latency - class.profile.baseline()) / class.objective;
         let Some(backend) = self.backends.get_mut(&id) else { return ratio };
         let is_local = backend.endpoint.zone == self.settings.zone;
-        let zone_excess = if is_local { &mut self.local_excess } else { &mut self.remote_excess };
+        let zone_excess =
+            if is_local { &mut self.local_excess_latency } else { &mut self.remote_excess_latency };
         zone_excess.update(excess, EXCESS_LATENCY_WEIGHT);
         backend.relative_latency.record(ratio, MAX_LATENCY_SAMPLES, PRIOR_LATENCY_SAMPLES);
         ratio
@@ -103,7 +105,7 @@
     fn record_error(&mut self, id: BackendId, call: Call, outcome: Outcome) {
         let Some(backend) = self.backends.get_mut(&id) else { return };
         if outcome == Outcome::Error {
-            self.limit.window.answers += 1.0;
+            self.limit.window.responses += 1.0;
         }
         // Calls sent before an ejection tell nothing new: counted as failed probes, those of one
         // overload would keep the backend ejected for many times as long as that lasts.
@@ -119,7 +121,7 @@
         backend.error_rate.update(1.0, weight);
         self.error_rate.update(1.0, OVERALL_ERROR_WEIGHT);
         let others = self.error_rate.value();
-        let shared = (ERROR_RATE_OVER_OTHERS * others).min((1.0 + others) / 2.0);
+        let shared = (MIN_ERROR_RATE_RATIO * others).min((1.0 + others) / 2.0);
         if backend.health[None].ejection.is_active()
             || backend.error_rate.value() > shared.max(EJECTION_ERROR_RATE)
         {
@@ -140,7 +142,7 @@
         }
         let ejection = &mut backend.health[class].ejection;
         if class_idempotency == Some(Idempotency::NonIdempotent) {
-            ejection.extend(self.now, NON_IDEMPOTENT_BASE_MS, MAX_NON_IDEMPOTENT_DOUBLINGS);
+            ejection.extend(self.now, NON_IDEMPOTENT_EJECTION_BASE_MS, MAX_NON_IDEMPOTENT_EJECTION_DOUBLINGS);
         } else {
             ejection.extend(self.now, EJECTION_BASE_MS, MAX_EJECTION_DOUBLINGS);
         }
@@ -152,28 +154,28 @@
     pub fn release_overdue_slots(&mut self) {
         let busy = self.backends.iter().filter(|(_, backend)| !backend.calls.is_empty());
         for id in busy.map(|(&id, _)| id).collect::<Vec<_>>() {
-            self.release_slots(id, MAX_SLOT_MEANS);
+            self.release_slots(id, MAX_SLOT_HOLD_LATENCIES);
         }
     }
 
     /// Calls that have been in flight for so many means of their class no longer count against the limit.
-    fn release_slots(&mut self, id: BackendId, means: f64) {
+    fn release_slots(&mut self, id: BackendId, latencies: f64) {
         for call in self.backends[&id].calls.clone() {
             let Some(request) = self.requests.get_mut(&call.request) else { continue };
-            let is_overdue = self.now - call.sent_at >= means * self.limit.classes[call.class].expected();
+            let is_overdue = self.now - call.sent_at >= latencies * self.limit.classes[call.class].expected();
             let mut attempts = request.attempts.iter_mut();
             let attempt =
                 attempts.find(|a| a.endpoint.backend == id && a.sent_at == call.sent_at && a.is_in_flight);
             if let Some(attempt) = attempt.filter(|attempt| is_overdue && attempt.holds_limit_slot) {
                 attempt.holds_limit_slot = false;
                 let quota = request.quota;
-                self.free_slot(call.class, quota);
+                self.release_slot(call.class, quota);
             }
         }
     }
 
     /// Those whose calls, or those of a class, get no response for far too long, while others do.
-    fn unresponsive(&self, busy: &[BackendId], class: Option<usize>) -> Vec<BackendId> {
+    fn unresponsive_backends(&self, busy: &[BackendId], class: Option<usize>) -> Vec<BackendId> {
         let of_class = class.map(|class| &self.limit.classes[class]);
         let expected_latency = of_class.map_or(self.limit.mean_latency.value(), ClassLatency::expected);
         let others_responded_at = of_class.map_or(self.last_response_at, |class| class.last_response_at);
@@ -186,9 +188,9 @@
             let silent_for = self.now - health.last_response_at.max(oldest);
             let latency = (expected_latency * backend.relative_latency.value()).max(1.0);
             health.ejection.is_due(self.now)
-                && calls.count() as f64 * silent_for / latency > MISSED_RESPONSES
-                && silent_for > MIN_SILENT_MEANS * expected_latency
-                && self.now - others_responded_at < silent_for * MAX_SILENCE_OF_OTHERS
+                && calls.count() as f64 * silent_for / latency > MIN_MISSED_RESPONSES
+                && silent_for > MIN_SILENCE_LATENCIES * expected_latency
+                && self.now - others_responded_at < silent_for * MAX_SILENCE_RATIO_OF_OTHERS
         };
         busy.iter().copied().filter(is_unresponsive).collect()
     }
@@ -196,10 +198,10 @@
     /// Ejects the backends that are unresponsive while others respond: altogether, or for a class.
     pub fn eject_unresponsive(&mut self) {
         // Who has no calls in flight owes no response: the cost follows from the calls, not from the list.
-        let busy = self.members().filter(|(_, backend)| !backend.calls.is_empty());
+        let busy = self.ready_backends().filter(|(_, backend)| !backend.calls.is_empty());
         let busy: Vec<BackendId> = busy.map(|(id, _)| id).collect();
         for class in std::iter::once(None).chain((0..self.classes.len()).map(Some)) {
-            for id in self.unresponsive(&busy, class) {
+            for id in self.unresponsive_backends(&busy, class) {
                 self.eject(id, class);
             }
         }
@@ -208,7 +210,7 @@
 
 impl Backend {
     /// Ends an ejection if a served attempt shows that its reason is gone; tells whether it did.
-    fn recovers(&mut self, sent_at: f64, ratio: f64) -> bool {
+    fn end_ejection_if_recovered(&mut self, sent_at: f64, ratio: f64) -> bool {
         let (ejection, error_rate) = (self.health[None].ejection, self.error_rate.value());
         if !ejection.is_active() {
             return false;
--- a/crates/balancer/src/policy/reconfigure.rs
+++ b/crates/balancer/src/policy/reconfigure.rs
@@ -7,23 +7,23 @@
 impl Policy {
     pub fn replace_settings(&mut self, now: f64, update: SettingsUpdate) {
         self.now = now;
-        let had_release_rule = self.settings.guarantees.idle_release_ms > 0.0;
-        self.put_in_force(update);
-        if !had_release_rule {
+        let had_idle_release_limit = self.settings.guarantees.idle_release_ms > 0.0;
+        self.apply_settings(update);
+        if !had_idle_release_limit {
             let backends: Vec<_> = self.backends.keys().copied().collect();
-            backends.into_iter().for_each(|id| self.release_idle_connections(id));
+            backends.into_iter().for_each(|id| self.close_idle_connections(id));
         }
-        self.follow_warm_backends();
+        self.scale_limit_to_warm_capacity();
         self.resize_subset(0.0);
         self.dispatch_queued();
     }
 
     /// The step itself. Nothing here fails, so that it is done completely.
-    pub fn put_in_force(&mut self, update: SettingsUpdate) {
+    pub fn apply_settings(&mut self, update: SettingsUpdate) {
         self.replace_classes(&update.settings.classes, &update.continued_classes);
         self.replace_tenants(&update.continued_tenants);
         self.settings = update.settings;
-        self.cut_slices();
+        self.rebuild_slices();
     }
 
     /// Gives each class a slot, and what was learned of the class that it continues.
--- a/crates/balancer/src/policy/request_lifecycle.rs
+++ b/crates/balancer/src/policy/request_lifecycle.rs
@@ -11,18 +11,18 @@
             let reason = UnservedReason::UnknownClass;
             return self.actions.push(Action::Fail { request: id, reason });
         };
-        self.earn_retry();
-        let mut request = self.admit(class, arrival);
+        self.add_retry_tokens();
+        let mut request = self.create_request(class, arrival);
         let slice = self.slices_of_class[class][request.quota];
         // Behind another request of its key it waits in that key's queue and holds no slot.
         let waits_for_key = request.key != 0 && self.key_queues.push(request.key, id);
         let is_queue_empty = self.slices.slice(slice).queue.is_empty();
         let has_slot = !waits_for_key && is_queue_empty && self.admits(slice);
         // With a slot but no backend, or behind its key, it waits while an answer can still be in time.
-        let is_patient = has_slot || waits_for_key;
+        let may_wait_until_objective = has_slot || waits_for_key;
         let time_to_spare = self.classes[class].latency_objective_ms - self.limit.mean_latency.value();
-        let wait = if is_patient { time_to_spare } else { self.queue_time() };
-        let last_start = arrival.deadline_ms - 2.0 * self.period();
+        let wait = if may_wait_until_objective { time_to_spare } else { self.max_queue_time_ms() };
+        let last_start = arrival.deadline_ms - 2.0 * self.period_ms();
         request.queue_deadline = (self.now + wait).min(last_start);
         self.requests.insert(id, request);
         self.classes.acquire(class);
@@ -30,7 +30,7 @@
         if has_slot && self.now < arrival.deadline_ms && self.send(id) {
             return;
         }
-        self.limit.is_used |= !is_patient;
+        self.limit.is_saturated |= !may_wait_until_objective;
         // A client's last attempt may have less time left than the periodic run takes to come: never queued.
         let is_queue_full = self.slices.queued() as f64 >= self.limit.total();
         if last_start <= self.now {
@@ -43,7 +43,7 @@
     }
 
     /// The record of a request, charged to its tenant.
-    fn admit(&mut self, class: usize, arrival: &RequestArrival) -> Request {
+    fn create_request(&mut self, class: usize, arrival: &RequestArrival) -> Request {
         let (quota, charged_tenant) = self.charge_tenant(usize::from(arrival.tenant));
         Request {
             key: if self.classes[class].is_ordered_by_key { arrival.key } else { 0 },
@@ -59,7 +59,7 @@
 
     /// Sends the next attempt if a backend can take it.
     pub fn send(&mut self, id: RequestId) -> bool {
-        let Some(selected) = self.select(id) else { return false };
+        let Some(selected) = self.select_backend(id) else { return false };
         let Some(request) = self.requests.get_mut(&id) else { return false };
         let Some(backend) = self.backends.get_mut(&selected) else { return false };
         backend.slow_start_budget.take(); // means nothing once it is warm
@@ -117,21 +117,21 @@
         let held_limit_slot = attempt.holds_limit_slot;
         let quota = request.quota;
         request.is_body_consumed |= result.is_body_consumed;
-        let is_over = result.is_request_closed || request.has_ended;
-        let has_another = request.has_attempt_in_flight();
+        let is_finished = result.is_request_closed || request.has_ended;
+        let has_other_attempt = request.has_attempt_in_flight();
         // After these it may still be running: the next one of its key waits until that is settled.
         if matches!(result.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
             let until = self.now + self.settings.guarantees.key_quarantine_ms;
             self.key_queues.quarantine(request.key, until);
         }
         if held_limit_slot {
-            self.free_slot(call.class, quota);
+            self.release_slot(call.class, quota);
         }
         self.record_outcome(result, call);
-        self.release_idle_connections(result.backend);
-        if is_over {
+        self.close_idle_connections(result.backend);
+        if is_finished {
             self.complete(id);
-        } else if !has_another && !self.retry(id) {
+        } else if !has_other_attempt && !self.retry(id) {
             self.requeue_or_end(id);
         }
     }
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -9,9 +9,9 @@
 
 impl Policy {
     /// A request earns its share of retries; their burst grows with the concurrency limit.
-    pub fn earn_retry(&mut self) {
+    pub fn add_retry_tokens(&mut self) {
         let burst = MIN_RETRY_BURST.max(self.limit.total() * RETRIES_PER_REQUEST);
-        self.retry_budget.earn(RETRIES_PER_REQUEST, burst);
+        self.retry_budget.add_tokens(RETRIES_PER_REQUEST, burst);
     }
 
     /// Sends another attempt if that is allowed and a backend can take it; free if the request never ran.
@@ -35,10 +35,10 @@
 
     fn may_run_again(&self, request: &Request) -> bool {
         let Some(first) = request.possibly_executed_attempt() else { return true };
-        let last_repeat = |window_ms: f64| first.sent_at + window_ms - self.settings.tick_ms;
+        let last_safe_send_ms = |window_ms: f64| first.sent_at + window_ms - self.settings.tick_ms;
         match self.classes[request.class].idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::Deduplicated { window_ms, .. } => self.now < last_repeat(window_ms),
+            Idempotency::Deduplicated { window_ms, .. } => self.now < last_safe_send_ms(window_ms),
             Idempotency::NonIdempotent => false,
         }
     }
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -5,15 +5,15 @@
 use crate::api::*;
 use crate::collections::random_pair;
 
-const ERROR_COST: f64 = 8.0; // a failed call costs more than a slow one
-const CROSS_ZONE_COST: f64 = 0.5; // calls that a crossing counts for, where it has a price
+const ERROR_RATE_COST: f64 = 8.0; // a failed call costs more than a slow one
+const CROSS_ZONE_COST_CALLS: f64 = 0.5; // calls that a crossing counts for, where it has a price
 const MIN_WEIGHT: f64 = 0.01;
-const DRAWS: usize = 12;
+const MAX_DRAWS: usize = 12;
 
 impl Policy {
     /// Two random members of the subset that are eligible; the cheaper one. Past the subset only if none is,
     /// and to ejected backends only if nothing else is left.
-    pub fn select(&mut self, id: RequestId) -> Option<BackendId> {
+    pub fn select_backend(&mut self, id: RequestId) -> Option<BackendId> {
         let request = self.requests.get(&id)?;
         let mut rng = self.rng.clone();
         let (local, remote, members) = (self.subset.local(), self.subset.remote(), self.subset.members());
@@ -21,7 +21,7 @@
         let preferred = if is_spilled { remote } else { local };
         let mut draw = |from: &[BackendId], may_be_ejected: bool| {
             let is_eligible = |id| self.is_eligible(request, id, may_be_ejected);
-            let (first, second) = random_pair(&mut rng, from, DRAWS, is_eligible)?;
+            let (first, second) = random_pair(&mut rng, from, MAX_DRAWS, is_eligible)?;
             let cheaper = second.filter(|&second| self.cost(second) < self.cost(first));
             Some(cheaper.unwrap_or(first))
         };
@@ -38,11 +38,11 @@
         backend.endpoint.phase == Phase::Ready
             && !is_out_of_budget
             && !was_last_attempt
-            && (may_be_ejected || self.serves_or_is_probed(request, backend))
-            && self.drops_repeats(request, backend)
+            && (may_be_ejected || self.is_not_ejected_or_probe_due(request, backend))
+            && self.drops_duplicates(request, backend)
     }
 
-    fn serves_or_is_probed(&self, request: &Request, backend: &Backend) -> bool {
+    fn is_not_ejected_or_probe_due(&self, request: &Request, backend: &Backend) -> bool {
         // An ejected backend gets one probe, a request that can be retried, once its time is up.
         let is_idempotent = self.classes[request.class].idempotency != Idempotency::NonIdempotent;
         let ejection = backend.health[None].ejection;
@@ -55,7 +55,7 @@
     }
 
     /// Whether a backend drops the repeats of a deduplicated request that may have run.
-    fn drops_repeats(&self, request: &Request, backend: &Backend) -> bool {
+    fn drops_duplicates(&self, request: &Request, backend: &Backend) -> bool {
         let Some(first) = request.possibly_executed_attempt() else { return true };
         let endpoint = &backend.endpoint;
         match self.classes[request.class].idempotency {
@@ -72,10 +72,10 @@
     /// Expected wait at a backend beside the others': own calls, latency, errors and the warm-up.
     fn cost(&self, id: BackendId) -> f64 {
         let backend = &self.backends[&id];
-        let latency = backend.relative_latency.value() * (1.0 + ERROR_COST * backend.error_rate.value());
+        let latency = backend.relative_latency.value() * (1.0 + ERROR_RATE_COST * backend.error_rate.value());
         let has_price = self.settings.objective.cross_zone_price > 0.0;
         let is_crossing = has_price && backend.endpoint.zone != self.settings.zone;
-        let crossing = if is_crossing { CROSS_ZONE_COST } else { 0.0 };
+        let crossing = if is_crossing { CROSS_ZONE_COST_CALLS } else { 0.0 };
         // A backend that is warming up and idle costs no more than others: its budget limits its calls.
         let calls = backend.calls.len() as f64 / self.warm_up_fraction(backend);
         let weight = backend.endpoint.weight.max(MIN_WEIGHT);
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -3,13 +3,13 @@
 use super::Policy;
 use super::state::Backend;
 use crate::api::BackendId;
-use crate::stats::{TokenBucket, even_phase};
+use crate::stats::{TokenBucket, low_discrepancy_point};
 
 const BUDGET_FRACTION: f64 = 0.3; // of the budget is used: backends are unlike, handshakes count
 const BUDGET_BURST: f64 = 1.0;
-const PROVEN_RATE_MEMORY_MS: f64 = 60_000.0; // how long a rate of answers proves what a warm backend serves
-const RATE_AVERAGE_MS: f64 = 1000.0;
-const PHASES: BackendId = 8191; // keeps the fraction precise
+const PEAK_RESPONSE_RATE_DECAY_MS: f64 = 60_000.0; // how long a rate of answers proves what a warm backend serves
+const RESPONSE_RATE_AVERAGE_MS: f64 = 1000.0;
+const BACKEND_ID_MODULUS: BackendId = 8191; // keeps the fraction precise
 
 impl Policy {
     /// Capacity that a backend surely has by now, as a share of its full one.
@@ -17,33 +17,33 @@
         let guarantees = &self.settings.guarantees;
         let initial = guarantees.initial_capacity_fraction.min(1.0);
         let started_at = backend.endpoint.started_at_ms;
-        let passed = (self.now - started_at) / guarantees.warm_up_ms.max(1.0);
-        let passed = if started_at > 0.0 { passed.clamp(0.0, 1.0) } else { 1.0 };
-        initial * (1.0 - passed) + passed
+        let progress = (self.now - started_at) / guarantees.warm_up_ms.max(1.0);
+        let progress = if started_at > 0.0 { progress.clamp(0.0, 1.0) } else { 1.0 };
+        initial * (1.0 - progress) + progress
     }
 
     /// Differs from instance to instance, so that the first requests of all do not coincide.
     pub fn initial_slow_start_budget(&self, id: BackendId) -> TokenBucket {
-        let place = f64::from(self.settings.instance_index) + f64::from(id % PHASES);
-        TokenBucket::with_tokens(even_phase(place))
+        let index = f64::from(self.settings.instance_index) + f64::from(id % BACKEND_ID_MODULUS);
+        TokenBucket::with_tokens(low_discrepancy_point(index))
     }
 
     /// Lets the budgets grow with the most that backends have proved to serve, at the capacity reached:
     /// what is answered just now is little where many warm up or all are idle.
     pub fn refill_slow_start_budgets(&mut self, passed: f64) {
-        let rate = self.limit.answers_per_warm_backend_ms;
-        self.answer_rate.update(rate, (passed / RATE_AVERAGE_MS).min(1.0));
-        self.proven_rate.record_after(self.answer_rate.value(), passed, PROVEN_RATE_MEMORY_MS);
+        let rate = self.limit.responses_per_warm_backend_ms;
+        self.response_rate.update(rate, (passed / RESPONSE_RATE_AVERAGE_MS).min(1.0));
+        self.peak_response_rate.record_after(self.response_rate.value(), passed, PEAK_RESPONSE_RATE_DECAY_MS);
         // The tier serves what its tenants may ask of it: where all warm up, there would hardly be an answer.
         let quota: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s / 1000.0).sum();
         let instances = f64::from(self.settings.instance_count);
         let quota_rate = quota / instances / (self.subset.ring().len() as f64).max(1.0);
-        let rate = self.proven_rate.value().max(quota_rate) * BUDGET_FRACTION;
+        let rate = self.peak_response_rate.value().max(quota_rate) * BUDGET_FRACTION;
         let tokens = rate * self.settings.guarantees.overload_multiple * passed / self.process_count;
         for &id in self.subset.members() {
             let warm_up_fraction = self.warm_up_fraction(&self.backends[&id]);
             if let Some(backend) = self.backends.get_mut(&id) {
-                backend.slow_start_budget.earn(tokens * warm_up_fraction, BUDGET_BURST);
+                backend.slow_start_budget.add_tokens(tokens * warm_up_fraction, BUDGET_BURST);
             }
         }
     }
--- a/crates/balancer/src/policy/tests.rs
+++ b/crates/balancer/src/policy/tests.rs
@@ -22,7 +22,7 @@
 fn serve(limit: &mut ConcurrencyLimit, calls: usize, latency: f64, in_flight: f64) {
     for _ in 0..calls {
         limit.record_served(0, latency);
-        limit.mean_latency.start_or_update(latency, 0.02);
+        limit.mean_latency.init_or_update(latency, 0.02);
     }
     limit.advance(calls as f64 * latency / in_flight, 1.0);
 }
--- a/crates/balancer/src/stats/decaying_peak.rs
+++ b/crates/balancer/src/stats/decaying_peak.rs
@@ -2,11 +2,11 @@
 
 /// A maximum that fades evenly until a higher value comes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct FadingPeak {
+pub struct DecayingPeak {
     value: f64,
 }
 
-impl FadingPeak {
+impl DecayingPeak {
     /// The maximum.
     pub fn value(self) -> f64 {
         self.value
--- a/crates/balancer/src/stats/latency_profile.rs
+++ b/crates/balancer/src/stats/latency_profile.rs
@@ -40,7 +40,7 @@
     }
 
     /// Lets the baseline follow the mean with a weight.
-    pub fn creep(&mut self, weight: f64) {
+    pub fn update_baseline(&mut self, weight: f64) {
         self.baseline.update(self.mean.value(), weight);
     }
 }
--- a/crates/balancer/src/stats/load_window.rs
+++ b/crates/balancer/src/stats/load_window.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct LoadWindow {
     /// Responses.
-    pub answers: f64,
+    pub responses: f64,
     /// Calls that were dropped.
     pub drops: f64,
     /// Calls that timed out.
@@ -18,8 +18,8 @@
 
 impl LoadWindow {
     /// A response came after a relative latency.
-    pub fn record_answer(&mut self, relative_latency: f64) {
-        self.answers += 1.0;
+    pub fn record_response(&mut self, relative_latency: f64) {
+        self.responses += 1.0;
         self.latency += relative_latency;
     }
 
@@ -37,21 +37,21 @@
 
     /// How many calls had an outcome.
     pub fn outcomes(self) -> f64 {
-        self.answers + self.drops + self.timeouts
+        self.responses + self.drops + self.timeouts
     }
 
     /// Responses of a server in a millisecond.
-    pub fn answers_per_server_ms(self) -> f64 {
-        self.answers / self.server_ms
+    pub fn responses_per_server_ms(self) -> f64 {
+        self.responses / self.server_ms
     }
 
     /// The mean relative latency by Little's law: load in flight over the rate of responses.
     pub fn latency_by_load(self) -> f64 {
-        self.load_ms / self.answers.max(1.0)
+        self.load_ms / self.responses.max(1.0)
     }
 
     /// The mean relative latency of the responses.
-    pub fn latency_by_answers(self) -> f64 {
-        self.latency / self.answers.max(1.0)
+    pub fn latency_by_responses(self) -> f64 {
+        self.latency / self.responses.max(1.0)
     }
 }
--- a/crates/balancer/src/stats/mod.rs
+++ b/crates/balancer/src/stats/mod.rs
@@ -18,10 +18,10 @@
 
 pub use backoff::Backoff;
 use capped_mean::CappedMean;
-pub use decaying_peak::FadingPeak;
+pub use decaying_peak::DecayingPeak;
 pub use latency_profile::LatencyProfile;
 pub use load_window::LoadWindow;
-pub use low_discrepancy::even_phase;
+pub use low_discrepancy::low_discrepancy_point;
 pub use moving_average::MovingAverage;
 pub use pi_controller::PiController;
 pub use prior_mean::PriorMean;
--- a/crates/balancer/src/stats/moving_average.rs
+++ b/crates/balancer/src/stats/moving_average.rs
@@ -23,7 +23,7 @@
     }
 
     /// The same, but the first sample counts in full; a mean of 0 has none.
-    pub fn start_or_update(&mut self, sample: f64, weight: f64) {
+    pub fn init_or_update(&mut self, sample: f64, weight: f64) {
         let weight = if self.value == 0.0 { 1.0 } else { weight };
         self.update(sample, weight);
     }
@@ -34,7 +34,7 @@
     }
 
     /// Fades towards 0 over a time.
-    pub fn fade(&mut self, passed: f64, duration: f64) {
+    pub fn decay(&mut self, passed: f64, duration: f64) {
         self.value -= self.value * passed / duration;
     }
 }
--- a/crates/balancer/src/stats/tests.rs
+++ b/crates/balancer/src/stats/tests.rs
@@ -9,11 +9,11 @@
     assert_eq!(average.value(), 15.0);
     average.update_as_one_of(0.0, 3.0);
     assert_eq!(average.value(), 10.0);
-    average.fade(1.0, 4.0);
+    average.decay(1.0, 4.0);
     assert_eq!(average.value(), 7.5);
     let mut started = MovingAverage::default();
-    started.start_or_update(8.0, 0.25);
-    started.start_or_update(4.0, 0.25);
+    started.init_or_update(8.0, 0.25);
+    started.init_or_update(4.0, 0.25);
     assert_eq!(started.value(), 7.0);
 }
 
@@ -74,7 +74,7 @@
     let mut bucket = TokenBucket::with_tokens(1.0);
     assert!(bucket.try_take());
     assert!(!bucket.try_take());
-    bucket.give_back();
+    bucket.return_token();
     assert!(bucket.try_take());
 }
 
@@ -82,15 +82,15 @@
 fn a_debt_is_earned_back_first() {
     let mut bucket = TokenBucket::with_tokens(0.5);
     bucket.take();
-    bucket.earn(1.0, 1.0);
+    bucket.add_tokens(1.0, 1.0);
     assert!(!bucket.has_token());
-    bucket.earn(1.0, 1.0);
+    bucket.add_tokens(1.0, 1.0);
     assert!(bucket.has_token());
 }
 
 #[test]
 fn a_peak_fades_until_a_higher_value_comes() {
-    let mut peak = FadingPeak::default();
+    let mut peak = DecayingPeak::default();
     peak.record(8.0);
     peak.record(4.0);
     assert_eq!(peak.value(), 8.0);
@@ -125,7 +125,7 @@
     profile.record(6.0, 10.0, 6.0, 3.0);
     assert_eq!((profile.mean(), profile.baseline()), (4.0, 3.0));
     assert_eq!([2.0, 80.0].map(|latency| profile.ratio_to_mean(latency, 6.0)), [0.5, 6.0]);
-    profile.creep(0.5);
+    profile.update_baseline(0.5);
     assert_eq!(profile.baseline(), 3.5);
     for _ in 0..10 {
         profile.record(1.0, 10.0, 6.0, 3.0);
@@ -136,15 +136,15 @@
 #[test]
 fn a_window_gives_the_mean_latency_by_both_views() {
     let mut window = LoadWindow::default();
-    assert_eq!((window.latency_by_load(), window.latency_by_answers()), (0.0, 0.0));
+    assert_eq!((window.latency_by_load(), window.latency_by_responses()), (0.0, 0.0));
     window.advance(100.0, 2.0, 0.5);
-    window.record_answer(1.5);
-    window.record_answer(0.5);
+    window.record_response(1.5);
+    window.record_response(0.5);
     window.drops += 1.0;
     window.timeouts += 1.0;
     assert_eq!((window.elapsed_ms(), window.outcomes()), (100.0, 4.0));
-    assert_eq!((window.latency_by_load(), window.latency_by_answers()), (25.0, 1.0));
-    assert_eq!(window.answers_per_server_ms(), 0.01);
+    assert_eq!((window.latency_by_load(), window.latency_by_responses()), (25.0, 1.0));
+    assert_eq!(window.responses_per_server_ms(), 0.01);
 }
 
 #[test]
@@ -160,7 +160,7 @@
 
 #[test]
 fn consecutive_phases_leave_no_large_gap() {
-    let mut phases: Vec<f64> = (0..50).map(|index| even_phase(f64::from(index))).collect();
+    let mut phases: Vec<f64> = (0..50).map(|index| low_discrepancy_point(f64::from(index))).collect();
     phases.sort_by(f64::total_cmp);
     let gaps = phases.windows(2).map(|pair| pair[1] - pair[0]);
     assert!(gaps.fold(0.0, f64::max) < 2.0 / 50.0);
--- a/crates/balancer/src/stats/token_bucket.rs
+++ b/crates/balancer/src/stats/token_bucket.rs
@@ -14,13 +14,13 @@
     }
 
     /// Earns tokens.
-    pub fn earn(&mut self, tokens: f64, capacity: f64) {
+    pub fn add_tokens(&mut self, tokens: f64, capacity: f64) {
         self.tokens = (self.tokens + tokens).min(capacity);
     }
 
     /// Earns what a rate gives for the time since the last call.
     pub fn refill(&mut self, now_ms: f64, rate_per_s: f64, capacity: f64) {
-        self.earn(rate_per_s * (now_ms - self.refilled_at_ms) / 1000.0, capacity);
+        self.add_tokens(rate_per_s * (now_ms - self.refilled_at_ms) / 1000.0, capacity);
         self.refilled_at_ms = now_ms;
     }
 
@@ -44,7 +44,7 @@
     }
 
     /// Returns a token that was taken.
-    pub fn give_back(&mut self) {
+    pub fn return_token(&mut self) {
         self.tokens += 1.0;
     }
 }
