--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -24,12 +24,12 @@
     }
 
     /// Takes one event at clock time `now` (milliseconds) and appends what is to be done about it.
-    pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         if !self.is_started {
             self.is_started = true;
-            self.policy.start(now);
+            self.policy.start(now_ms);
         }
-        self.policy.on_event(now, event);
+        self.policy.on_event(now_ms, event);
         actions.append(&mut self.policy.actions);
     }
 
@@ -45,7 +45,7 @@
     /// Names what is wrong with the settings; nothing has changed then.
     pub fn configure(
         &mut self,
-        now: f64,
+        now_ms: f64,
         update: SettingsUpdate,
         actions: &mut Vec<Action>,
     ) -> Result<u64, SettingsError> {
@@ -55,7 +55,7 @@
         validate_update(&self.policy.settings, &update)?;
         self.version = version;
         if !is_unchanged {
-            self.policy.replace_settings(now, update);
+            self.policy.replace_settings(now_ms, update);
             actions.append(&mut self.policy.actions);
         }
         Ok(version.number)
--- a/crates/balancer/src/collections/keyed_queues.rs
+++ b/crates/balancer/src/collections/keyed_queues.rs
@@ -7,7 +7,7 @@
 struct KeyQueue<T> {
     items: VecDeque<T>,
     is_head_dispatched: bool,
-    quarantined_until: f64,
+    quarantined_until_ms: f64,
 }
 
 /// The queues of all keys that have items.
@@ -30,7 +30,7 @@
             return true;
         }
         let items = VecDeque::from([item]);
-        self.queues.insert(key, KeyQueue { items, is_head_dispatched: true, quarantined_until: 0.0 });
+        self.queues.insert(key, KeyQueue { items, is_head_dispatched: true, quarantined_until_ms: 0.0 });
         false
     }
 
@@ -44,16 +44,16 @@
     }
 
     /// Lets nothing of a key be dispatched up to a time.
-    pub fn quarantine(&mut self, key: u64, until: f64) {
+    pub fn quarantine(&mut self, key: u64, until_ms: f64) {
         if let Some(queue) = self.queues.get_mut(&key) {
-            queue.quarantined_until = until;
+            queue.quarantined_until_ms = until_ms;
         }
     }
 
     /// Dispatches the head of a key's queue, once, and past the key's quarantine; forgets a queue that is empty.
-    pub fn dispatch(&mut self, key: u64, now: f64) -> Option<T> {
+    pub fn dispatch(&mut self, key: u64, now_ms: f64) -> Option<T> {
         let queue = self.queues.get_mut(&key)?;
-        if queue.is_head_dispatched || now <= queue.quarantined_until {
+        if queue.is_head_dispatched || now_ms <= queue.quarantined_until_ms {
             return None;
         }
         let head = queue.items.front().copied();
--- a/crates/balancer/src/collections/suspensions.rs
+++ b/crates/balancer/src/collections/suspensions.rs
@@ -4,7 +4,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct Resumed {
-    at: f64,
+    at_ms: f64,
     was_in_use: bool,
 }
 
@@ -33,14 +33,14 @@
     }
 
     /// Resumes somebody.
-    pub fn resume(&mut self, id: K, now: f64) {
+    pub fn resume(&mut self, id: K, now_ms: f64) {
         let was_in_use = self.suspended.remove(&id).unwrap_or(false);
-        self.resumed.insert(id, Resumed { at: now, was_in_use });
+        self.resumed.insert(id, Resumed { at_ms: now_ms, was_in_use });
     }
 
     /// When somebody was resumed; 0 where that is long ago, or never was.
-    pub fn resumed_at(&self, id: K) -> f64 {
-        self.resumed.get(&id).map_or(0.0, |resumed| resumed.at)
+    pub fn resumed_at_ms(&self, id: K) -> f64 {
+        self.resumed.get(&id).map_or(0.0, |resumed| resumed.at_ms)
     }
 
     /// Those resumed who had been in use before.
@@ -49,7 +49,7 @@
     }
 
     /// Forgets those resumed as long ago as this, or longer.
-    pub fn forget_resumed(&mut self, now: f64, duration: f64) {
-        self.resumed.retain(|_, resumed| now - resumed.at < duration);
+    pub fn forget_resumed(&mut self, now_ms: f64, duration_ms: f64) {
+        self.resumed.retain(|_, resumed| now_ms - resumed.at_ms < duration_ms);
     }
 }
--- a/crates/balancer/src/collections/tests.rs
+++ b/crates/balancer/src/collections/tests.rs
@@ -130,12 +130,12 @@
         suspensions.resume(id, 10.0);
     }
     assert!(!suspensions.is_suspended('a'));
-    assert_eq!((suspensions.resumed_at('a'), suspensions.resumed_at('d')), (10.0, 0.0));
+    assert_eq!((suspensions.resumed_at_ms('a'), suspensions.resumed_at_ms('d')), (10.0, 0.0));
     assert_eq!(suspensions.resumed_for_use().collect::<Vec<_>>(), ['a']);
     suspensions.forget_resumed(14.0, 5.0);
-    assert_eq!(suspensions.resumed_at('a'), 10.0);
+    assert_eq!(suspensions.resumed_at_ms('a'), 10.0);
     suspensions.forget_resumed(15.0, 5.0);
-    assert_eq!(suspensions.resumed_at('a'), 0.0);
+    assert_eq!(suspensions.resumed_at_ms('a'), 0.0);
 }
 
 #[test]
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -86,7 +86,7 @@
                 let is_admitted = self.admits(slice);
                 let Some(id) = self.slices.queue_mut(slice).pop_front() else { break };
                 let request = self.requests.get(&id);
-                if request.is_none_or(|request| self.now >= request.queue_deadline) {
+                if request.is_none_or(|request| self.now_ms >= request.queue_deadline_ms) {
                     self.reject_or_fail(id, UnservedReason::QueueTimeout);
                 } else if !is_admitted || !self.send(id) {
                     self.slices.queue_mut(slice).push_back(id);
@@ -101,7 +101,7 @@
         let Some(settings) = settings else { return (Quota::Within, None) };
         let rate_per_s = settings.quota_per_s / f64::from(self.settings.instance_count);
         let burst = rate_per_s.max(MIN_QUOTA_BURST);
-        let quota = self.tenant_quotas.charge(tenant, self.now, rate_per_s, burst);
+        let quota = self.tenant_quotas.charge(tenant, self.now_ms, rate_per_s, burst);
         (quota, (quota == Quota::Within).then_some(tenant))
     }
 
@@ -115,8 +115,8 @@
     }
 
     /// How long a rejected client should stay away; jittered, so that clients do not come back together.
-    pub fn retry_after(&mut self, objective: f64) -> f64 {
-        let wait = objective * QUEUE_TIME_FRACTION * (1.0 + self.rng.f64());
+    pub fn retry_after(&mut self, objective_ms: f64) -> f64 {
+        let wait = objective_ms * QUEUE_TIME_FRACTION * (1.0 + self.rng.f64());
         let capabilities = &self.settings.capabilities;
         if capabilities.sends_retry_after { wait.min(capabilities.max_retry_after_ms) } else { 0.0 }
     }
--- a/crates/balancer/src/policy/concurrency_limit.rs
+++ b/crates/balancer/src/policy/concurrency_limit.rs
@@ -20,22 +20,22 @@
 /// What is known of a class's latency.
 #[derive(Default, Clone)]
 pub struct ClassLatency {
-    pub objective: f64,
+    pub objective_ms: f64,
     pub profile: LatencyProfile,
     pub in_flight: ByQuota<f64>,
-    pub last_response_at: f64,
+    pub last_response_at_ms: f64,
 }
 
 impl ClassLatency {
     /// The mean latency, or the objective as long as too few responses have come.
     pub fn expected(&self) -> f64 {
-        if self.profile.samples() < MIN_WINDOW_SAMPLES { self.objective } else { self.profile.mean() }
+        if self.profile.samples() < MIN_WINDOW_SAMPLES { self.objective_ms } else { self.profile.mean() }
     }
 
     /// The mean latency at which the limit is full.
     fn target(&self) -> f64 {
         let tolerated = BASELINE_TOLERANCE * self.profile.baseline();
-        (TARGET_OBJECTIVE_FRACTION * self.objective).max(tolerated).max(1.0)
+        (TARGET_OBJECTIVE_FRACTION * self.objective_ms).max(tolerated).max(1.0)
     }
 }
 
@@ -65,9 +65,9 @@
     }
 
     /// Begins a class, with what was learned of the one that it continues.
-    pub fn start_class(&mut self, slot: usize, continues: Option<usize>, objective: f64) {
+    pub fn start_class(&mut self, slot: usize, continues: Option<usize>, objective_ms: f64) {
         let learned = continues.map(|old| self.classes[old].clone()).unwrap_or_default();
-        let class = ClassLatency { objective, in_flight: ByQuota::default(), ..learned };
+        let class = ClassLatency { objective_ms, in_flight: ByQuota::default(), ..learned };
         set_slot(&mut self.classes, slot, class);
     }
 
@@ -87,9 +87,9 @@
     }
 
     /// Lets time pass, and judges the window once it holds enough outcomes and covers the mean latency.
-    pub fn advance(&mut self, passed: f64, warm_capacity: f64) {
+    pub fn advance(&mut self, elapsed_ms: f64, warm_capacity: f64) {
         let load = self.classes.iter().map(|class| class.in_flight.total() / class.target()).sum();
-        self.window.advance(passed, warm_capacity, load);
+        self.window.advance(elapsed_ms, warm_capacity, load);
         let has_enough = self.window.outcomes() >= MIN_WINDOW_SAMPLES;
         if has_enough && self.window.elapsed_ms() >= self.mean_latency.value() {
             self.update_total();
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -16,8 +16,8 @@
     pub fn schedule_poll(&mut self, share: f64) {
         if !self.is_poll_scheduled {
             self.is_poll_scheduled = true;
-            let longest = self.settings.guarantees.poll_within_ms.clamp(1.0, MAX_POLL_DELAY_MS);
-            self.actions.push(Action::SetTimer { delay_ms: share * longest, token: POLL_TIMER });
+            let max_delay_ms = self.settings.guarantees.poll_within_ms.clamp(1.0, MAX_POLL_DELAY_MS);
+            self.actions.push(Action::SetTimer { delay_ms: share * max_delay_ms, token: POLL_TIMER });
         }
     }
 
@@ -46,7 +46,7 @@
 
     fn on_endpoint(&mut self, mut endpoint: EndpointInfo) {
         let id = endpoint.backend;
-        endpoint.started_at_ms = endpoint.started_at_ms.max(self.suspensions.resumed_at(id));
+        endpoint.started_at_ms = endpoint.started_at_ms.max(self.suspensions.resumed_at_ms(id));
         let known = self.backends.get(&id);
         if known.is_none_or(|backend| backend.endpoint.started_at_ms != endpoint.started_at_ms) {
             self.reset_backend(id);
@@ -62,11 +62,12 @@
             endpoint: old.endpoint,
             calls: old.calls,
             relative_latency: PriorMean::new(1.0),
-            health: ByClass::new(Health::responsive_at(self.now), self.classes.len()),
+            health: ByClass::new(Health::responsive_at(self.now_ms), self.classes.len()),
             slow_start_budget: self.initial_slow_start_budget(id),
             ..Backend::default()
         };
-        backend.endpoint.started_at_ms = backend.endpoint.started_at_ms.max(self.suspensions.resumed_at(id));
+        backend.endpoint.started_at_ms =
+            backend.endpoint.started_at_ms.max(self.suspensions.resumed_at_ms(id));
         self.backends.insert(id, backend);
     }
 
@@ -78,7 +79,7 @@
         if is_suspended {
             self.suspensions.suspend(id, self.subset.members().contains(&id));
         } else {
-            self.suspensions.resume(id, self.now);
+            self.suspensions.resume(id, self.now_ms);
             if self.backends.contains_key(&id) {
                 self.reset_backend(id);
             }
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -37,11 +37,11 @@
     pub classes: SlotTable<Class>,
     pub slices: Slices<RequestId>, // of the limit, highest priority weight first
     pub limit: ConcurrencyLimit,
-    now: f64, // of the event in hand
+    now_ms: f64, // of the event in hand
     rng: fastrand::Rng,
     is_draining: bool,
     process_count: f64, // that act as this instance
-    last_periodic_run_at: f64,
+    last_periodic_run_at_ms: f64,
     is_poll_scheduled: bool,
     poll_backoff: Backoff,
     suspensions: Suspensions<BackendId>, // by the operators
@@ -58,7 +58,7 @@
     retry_budget: TokenBucket,
     peak_in_flight: DecayingPeak,
     error_rate: MovingAverage,        // over all backends
-    last_response_at: f64,            // of any backend
+    last_response_at_ms: f64,         // of any backend
     response_rate: MovingAverage,     // of a warm backend, a millisecond ...
     peak_response_rate: DecayingPeak, // ... and the most of it
 }
@@ -74,8 +74,8 @@
     }
 
     /// Decides on one event at clock time `now`.
-    pub fn on_event(&mut self, now: f64, event: Event) {
-        self.now = now;
+    pub fn on_event(&mut self, now_ms: f64, event: Event) {
+        self.now_ms = now_ms;
         match event {
             Event::EndpointList { kind, endpoints } => self.on_endpoint_list(kind, endpoints),
             Event::RequestArrived(arrival) => self.on_request(&arrival),
@@ -96,9 +96,9 @@
     }
 
     /// Begins at clock time `now`, right before the first event.
-    pub fn start(&mut self, now: f64) {
-        self.last_periodic_run_at = now;
-        self.last_response_at = now;
+    pub fn start(&mut self, now_ms: f64) {
+        self.last_periodic_run_at_ms = now_ms;
+        self.last_response_at_ms = now_ms;
         self.actions.push(Action::SetTimer { delay_ms: self.period_ms(), token: PERIODIC_TIMER });
         if self.settings.discovery_mode == DiscoveryMode::Poll {
             // Instances start together: the first poll is spread so that discovery is not overrun.
@@ -114,20 +114,20 @@
 
     fn run_periodic(&mut self) {
         self.actions.push(Action::SetTimer { delay_ms: self.period_ms(), token: PERIODIC_TIMER });
-        let passed = (self.now - self.last_periodic_run_at).max(0.0);
-        self.last_periodic_run_at = self.now;
+        let elapsed_ms = (self.now_ms - self.last_periodic_run_at_ms).max(0.0);
+        self.last_periodic_run_at_ms = self.now_ms;
         let members = self.subset.members().iter();
         let warm: f64 = members.map(|id| self.warm_up_fraction(&self.backends[id])).sum();
-        self.limit.advance(passed, warm.max(1.0));
-        self.suspensions.forget_resumed(self.now, self.settings.guarantees.warm_up_ms);
+        self.limit.advance(elapsed_ms, warm.max(1.0));
+        self.suspensions.forget_resumed(self.now_ms, self.settings.guarantees.warm_up_ms);
         self.scale_limit_to_warm_capacity();
-        self.update_spillover(passed);
-        self.resize_subset(passed);
-        self.peak_in_flight.record_after(self.slices.in_flight(), passed, PEAK_IN_FLIGHT_DECAY_MS);
+        self.update_spillover(elapsed_ms);
+        self.resize_subset(elapsed_ms);
+        self.peak_in_flight.record_after(self.slices.in_flight(), elapsed_ms, PEAK_IN_FLIGHT_DECAY_MS);
         self.run_key_queues();
         self.release_overdue_slots();
         self.expire_or_dispatch_queued();
-        self.refill_slow_start_budgets(passed);
+        self.refill_slow_start_budgets(elapsed_ms);
         self.eject_unresponsive();
     }
 }
--- a/crates/balancer/src/policy/outlier_detection.rs
+++ b/crates/balancer/src/policy/outlier_detection.rs
@@ -40,10 +40,10 @@
         let Some(backend) = self.backends.get_mut(&id) else { return };
         backend.calls.retain(|other| *other != call);
         if matches!(result.outcome, Outcome::Ok | Outcome::Error | Outcome::Full) {
-            backend.health[None].last_response_at = self.now;
-            backend.health[Some(class)] = Health::responsive_at(self.now);
-            self.last_response_at = self.now;
-            self.limit.classes[class].last_response_at = self.now;
+            backend.health[None].last_response_at_ms = self.now_ms;
+            backend.health[Some(class)] = Health::responsive_at(self.now_ms);
+            self.last_response_at_ms = self.now_ms;
+            self.limit.classes[class].last_response_at_ms = self.now_ms;
         }
         match result.outcome {
             Outcome::Ok => self.record_served(id, call, latency),
@@ -72,7 +72,7 @@
         let weight =
             if backend.health[None].ejection.is_active() { PROBE_SUCCESS_WEIGHT } else { ERROR_WEIGHT };
         backend.error_rate.update(0.0, weight);
-        if !backend.end_ejection_if_recovered(call.sent_at, ratio) {
+        if !backend.end_ejection_if_recovered(call.sent_at_ms, ratio) {
             self.eject_if_slow(id);
         }
     }
@@ -82,7 +82,7 @@
         self.limit.mean_latency.init_or_update(latency, OVERALL_LATENCY_WEIGHT);
         let class = &self.limit.classes[class];
         let ratio = class.profile.ratio_to_mean(latency, MAX_LATENCY_RATIO);
-        let excess = (latency - class.profile.baseline()) / class.objective;
+        let excess = (latency - class.profile.baseline()) / class.objective_ms;
         let Some(backend) = self.backends.get_mut(&id) else { return ratio };
         let is_local = backend.endpoint.zone == self.settings.zone;
         let zone_excess =
@@ -97,7 +97,7 @@
         let Some(backend) = self.backends.get(&id) else { return };
         let is_slow = backend.relative_latency.value() > EJECTION_RELATIVE_LATENCY;
         let is_certain = backend.relative_latency.samples() > MIN_LATENCY_SAMPLES;
-        if is_slow && is_certain && backend.health[None].ejection.is_due(self.now) {
+        if is_slow && is_certain && backend.health[None].ejection.is_due(self.now_ms) {
             self.eject(id, None);
         }
     }
@@ -109,7 +109,7 @@
         }
         // Calls sent before an ejection tell nothing new: counted as failed probes, those of one
         // overload would keep the backend ejected for many times as long as that lasts.
-        if backend.health[None].ejection.began_after(call.sent_at) {
+        if backend.health[None].ejection.began_after(call.sent_at_ms) {
             return;
         }
         let is_unreachable = outcome == Outcome::ConnectFailed;
@@ -142,9 +142,13 @@
         }
         let ejection = &mut backend.health[class].ejection;
         if class_idempotency == Some(Idempotency::NonIdempotent) {
-            ejection.extend(self.now, NON_IDEMPOTENT_EJECTION_BASE_MS, MAX_NON_IDEMPOTENT_EJECTION_DOUBLINGS);
+            ejection.extend(
+                self.now_ms,
+                NON_IDEMPOTENT_EJECTION_BASE_MS,
+                MAX_NON_IDEMPOTENT_EJECTION_DOUBLINGS,
+            );
         } else {
-            ejection.extend(self.now, EJECTION_BASE_MS, MAX_EJECTION_DOUBLINGS);
+            ejection.extend(self.now_ms, EJECTION_BASE_MS, MAX_EJECTION_DOUBLINGS);
         }
         if class.is_none() {
             self.release_slots(id, 0.0); // an ejected backend holds no slots of the limit
@@ -162,10 +166,11 @@
     fn release_slots(&mut self, id: BackendId, latencies: f64) {
         for call in self.backends[&id].calls.clone() {
             let Some(request) = self.requests.get_mut(&call.request) else { continue };
-            let is_overdue = self.now - call.sent_at >= latencies * self.limit.classes[call.class].expected();
+            let is_overdue =
+                self.now_ms - call.sent_at_ms >= latencies * self.limit.classes[call.class].expected();
             let mut attempts = request.attempts.iter_mut();
-            let attempt =
-                attempts.find(|a| a.endpoint.backend == id && a.sent_at == call.sent_at && a.is_in_flight);
+            let attempt = attempts
+                .find(|a| a.endpoint.backend == id && a.sent_at_ms == call.sent_at_ms && a.is_in_flight);
             if let Some(attempt) = attempt.filter(|attempt| is_overdue && attempt.holds_limit_slot) {
                 attempt.holds_limit_slot = false;
                 let quota = request.quota;
@@ -178,19 +183,20 @@
     fn unresponsive_backends(&self, busy: &[BackendId], class: Option<usize>) -> Vec<BackendId> {
         let of_class = class.map(|class| &self.limit.classes[class]);
         let expected_latency = of_class.map_or(self.limit.mean_latency.value(), ClassLatency::expected);
-        let others_responded_at = of_class.map_or(self.last_response_at, |class| class.last_response_at);
+        let others_responded_at_ms =
+            of_class.map_or(self.last_response_at_ms, |class| class.last_response_at_ms);
         let is_unresponsive = |id: &BackendId| {
             let backend = &self.backends[id];
             let health = &backend.health[class];
             let calls = backend.calls.iter().filter(|call| class.is_none_or(|class| call.class == class));
             let mut calls = calls.peekable();
-            let oldest = calls.peek().map_or(self.now, |call| call.sent_at);
-            let silent_for = self.now - health.last_response_at.max(oldest);
+            let oldest = calls.peek().map_or(self.now_ms, |call| call.sent_at_ms);
+            let silent_ms = self.now_ms - health.last_response_at_ms.max(oldest);
             let latency = (expected_latency * backend.relative_latency.value()).max(1.0);
-            health.ejection.is_due(self.now)
-                && calls.count() as f64 * silent_for / latency > MIN_MISSED_RESPONSES
-                && silent_for > MIN_SILENCE_LATENCIES * expected_latency
-                && self.now - others_responded_at < silent_for * MAX_SILENCE_RATIO_OF_OTHERS
+            health.ejection.is_due(self.now_ms)
+                && calls.count() as f64 * silent_ms / latency > MIN_MISSED_RESPONSES
+                && silent_ms > MIN_SILENCE_LATENCIES * expected_latency
+                && self.now_ms - others_responded_at_ms < silent_ms * MAX_SILENCE_RATIO_OF_OTHERS
         };
         busy.iter().copied().filter(is_unresponsive).collect()
     }
@@ -210,14 +216,14 @@
 
 impl Backend {
     /// Ends an ejection if a served attempt shows that its reason is gone; tells whether it did.
-    fn end_ejection_if_recovered(&mut self, sent_at: f64, ratio: f64) -> bool {
+    fn end_ejection_if_recovered(&mut self, sent_at_ms: f64, ratio: f64) -> bool {
         let (ejection, error_rate) = (self.health[None].ejection, self.error_rate.value());
         if !ejection.is_active() {
             return false;
         }
         let is_slow = self.relative_latency.value() >= EJECTION_RELATIVE_LATENCY;
-        let oldest = self.calls.front().map_or(f64::MAX, |call| call.sent_at);
-        let has_caught_up = ejection.began_after(sent_at) && !ejection.began_after(oldest);
+        let oldest = self.calls.front().map_or(f64::MAX, |call| call.sent_at_ms);
+        let has_caught_up = ejection.began_after(sent_at_ms) && !ejection.began_after(oldest);
         if error_rate < HEALTHY_ERROR_RATE && !is_slow && has_caught_up {
             self.health[None].ejection.end(); // it was unresponsive, and no more
         } else if error_rate < RECOVERED_ERROR_RATE && ratio < EJECTION_RELATIVE_LATENCY / 2.0 {
--- a/crates/balancer/src/policy/reconfigure.rs
+++ b/crates/balancer/src/policy/reconfigure.rs
@@ -5,8 +5,8 @@
 use crate::api::{Class, SettingsUpdate};
 
 impl Policy {
-    pub fn replace_settings(&mut self, now: f64, update: SettingsUpdate) {
-        self.now = now;
+    pub fn replace_settings(&mut self, now_ms: f64, update: SettingsUpdate) {
+        self.now_ms = now_ms;
         let had_idle_release_limit = self.settings.guarantees.idle_release_ms > 0.0;
         self.apply_settings(update);
         if !had_idle_release_limit {
@@ -29,11 +29,11 @@
     /// Gives each class a slot, and what was learned of the class that it continues.
     fn replace_classes(&mut self, classes: &[Class], continued: &[Option<u16>]) {
         for started in self.classes.replace(classes, continued) {
-            let objective = self.classes[started.slot].latency_objective_ms;
-            self.limit.start_class(started.slot, started.continues, objective);
+            let objective_ms = self.classes[started.slot].latency_objective_ms;
+            self.limit.start_class(started.slot, started.continues, objective_ms);
             for backend in self.backends.values_mut() {
                 let continued = started.continues.map(|slot| backend.health[Some(slot)].clone());
-                let health = continued.unwrap_or_else(|| Health::responsive_at(self.now));
+                let health = continued.unwrap_or_else(|| Health::responsive_at(self.now_ms));
                 backend.health.set(started.slot, health);
             }
         }
--- a/crates/balancer/src/policy/request_lifecycle.rs
+++ b/crates/balancer/src/policy/request_lifecycle.rs
@@ -20,20 +20,20 @@
         let has_slot = !waits_for_key && is_queue_empty && self.admits(slice);
         // With a slot but no backend, or behind its key, it waits while an answer can still be in time.
         let may_wait_until_objective = has_slot || waits_for_key;
-        let time_to_spare = self.classes[class].latency_objective_ms - self.limit.mean_latency.value();
-        let wait = if may_wait_until_objective { time_to_spare } else { self.max_queue_time_ms() };
-        let last_start = arrival.deadline_ms - 2.0 * self.period_ms();
-        request.queue_deadline = (self.now + wait).min(last_start);
+        let time_to_spare_ms = self.classes[class].latency_objective_ms - self.limit.mean_latency.value();
+        let wait = if may_wait_until_objective { time_to_spare_ms } else { self.max_queue_time_ms() };
+        let last_start_ms = arrival.deadline_ms - 2.0 * self.period_ms();
+        request.queue_deadline_ms = (self.now_ms + wait).min(last_start_ms);
         self.requests.insert(id, request);
         self.classes.acquire(class);
         // What comes too late for any answer, as at the end of a planned stop, only costs a backend work.
-        if has_slot && self.now < arrival.deadline_ms && self.send(id) {
+        if has_slot && self.now_ms < arrival.deadline_ms && self.send(id) {
             return;
         }
         self.limit.is_saturated |= !may_wait_until_objective;
         // A client's last attempt may have less time left than the periodic run takes to come: never queued.
         let is_queue_full = self.slices.queued() as f64 >= self.limit.total();
-        if last_start <= self.now {
+        if last_start_ms <= self.now_ms {
             self.reject_or_fail(id, UnservedReason::DeadlineTooClose);
         } else if !waits_for_key && is_queue_full {
             self.reject_or_fail(id, UnservedReason::QueueFull);
@@ -51,7 +51,7 @@
             quota,
             charged_tenant,
             max_attempts: self.settings.capabilities.max_attempts,
-            deadline: arrival.deadline_ms,
+            deadline_ms: arrival.deadline_ms,
             is_body_streamed: arrival.is_body_streamed,
             ..Request::default()
         }
@@ -64,9 +64,13 @@
         let Some(backend) = self.backends.get_mut(&selected) else { return false };
         backend.slow_start_budget.take(); // means nothing once it is warm
         let endpoint = backend.endpoint.clone();
-        let attempt = Attempt { endpoint, sent_at: self.now, is_in_flight: true, ..Attempt::default() };
+        let attempt = Attempt { endpoint, sent_at_ms: self.now_ms, is_in_flight: true, ..Attempt::default() };
         request.attempts.push(attempt);
-        self.actions.push(Action::Send { request: id, backend: selected, expires_at_ms: request.deadline });
+        self.actions.push(Action::Send {
+            request: id,
+            backend: selected,
+            expires_at_ms: request.deadline_ms,
+        });
         if !request.is_body_streamed {
             self.begin_call(id);
         }
@@ -82,13 +86,13 @@
         let Some(backend) = self.backends.get_mut(&attempt.endpoint.backend) else { return };
         // Who had no calls in flight owed no response: its silence begins now.
         if backend.calls.is_empty() {
-            backend.health[None].last_response_at = self.now;
+            backend.health[None].last_response_at_ms = self.now_ms;
         }
         if backend.calls.iter().all(|call| call.class != class) {
-            backend.health[Some(class)].last_response_at = self.now;
+            backend.health[Some(class)].last_response_at_ms = self.now_ms;
         }
-        backend.calls.push_back(Call { request: id, sent_at: self.now, class });
-        attempt.sent_at = self.now;
+        backend.calls.push_back(Call { request: id, sent_at_ms: self.now_ms, class });
+        attempt.sent_at_ms = self.now_ms;
         attempt.holds_limit_slot = !backend.health[None].ejection.is_active();
         if attempt.holds_limit_slot {
             self.slices.begin(self.slices_of_class[class][quota]);
@@ -98,9 +102,9 @@
     }
 
     /// Until its last byte has come, a request takes none of a backend's work, however slowly it is written.
-    pub fn on_body_received(&mut self, id: RequestId, deadline: f64) {
+    pub fn on_body_received(&mut self, id: RequestId, deadline_ms: f64) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.deadline = deadline;
+        request.deadline_ms = deadline_ms;
         if std::mem::take(&mut request.is_body_streamed) {
             self.begin_call(id);
         }
@@ -113,7 +117,7 @@
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
         attempt.is_in_flight = false;
         attempt.never_ran = result.outcome.never_ran();
-        let call = Call { request: id, sent_at: attempt.sent_at, class: request.class };
+        let call = Call { request: id, sent_at_ms: attempt.sent_at_ms, class: request.class };
         let held_limit_slot = attempt.holds_limit_slot;
         let quota = request.quota;
         request.is_body_consumed |= result.is_body_consumed;
@@ -121,7 +125,7 @@
         let has_other_attempt = request.has_attempt_in_flight();
         // After these it may still be running: the next one of its key waits until that is settled.
         if matches!(result.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-            let until = self.now + self.settings.guarantees.key_quarantine_ms;
+            let until = self.now_ms + self.settings.guarantees.key_quarantine_ms;
             self.key_queues.quarantine(request.key, until);
         }
         if held_limit_slot {
@@ -141,7 +145,7 @@
     fn requeue_or_end(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let never_ran = request.possibly_executed_attempt().is_none();
-        if never_ran && self.now < request.queue_deadline && self.has_attempt_left(request) {
+        if never_ran && self.now_ms < request.queue_deadline_ms && self.has_attempt_left(request) {
             self.enqueue(id);
         } else {
             self.reject_or_fail(id, UnservedReason::AttemptsFailed);
@@ -187,13 +191,14 @@
 
     /// Queues the next request of an ordering key, like any other.
     fn dispatch_key(&mut self, key: u64) {
-        let next = self.key_queues.dispatch(key, self.now);
+        let next = self.key_queues.dispatch(key, self.now_ms);
         next.into_iter().for_each(|id| self.enqueue(id));
     }
 
     /// Ends the requests that have waited too long for their key, and lets keys out of quarantine.
     pub fn run_key_queues(&mut self) {
-        let is_overdue = |id: &RequestId| self.requests.get(id).is_some_and(|r| self.now >= r.queue_deadline);
+        let is_overdue =
+            |id: &RequestId| self.requests.get(id).is_some_and(|r| self.now_ms >= r.queue_deadline_ms);
         let overdue: Vec<RequestId> = self.key_queues.waiting().filter(is_overdue).collect();
         for id in overdue {
             self.reject_or_fail(id, UnservedReason::KeyQueueTimeout);
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -18,7 +18,7 @@
     pub fn retry(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let is_free = request.possibly_executed_attempt().is_none();
-        let has_time = self.now + self.settings.tick_ms < request.deadline;
+        let has_time = self.now_ms + self.settings.tick_ms < request.deadline_ms;
         let is_allowed = has_time && self.has_attempt_left(request) && self.may_run_again(request);
         let is_sent = is_allowed && (is_free || self.retry_budget.has_token()) && self.send(id);
         if is_sent && !is_free {
@@ -35,10 +35,10 @@
 
     fn may_run_again(&self, request: &Request) -> bool {
         let Some(first) = request.possibly_executed_attempt() else { return true };
-        let last_safe_send_ms = |window_ms: f64| first.sent_at + window_ms - self.settings.tick_ms;
+        let last_safe_send_ms = |window_ms: f64| first.sent_at_ms + window_ms - self.settings.tick_ms;
         match self.classes[request.class].idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::Deduplicated { window_ms, .. } => self.now < last_safe_send_ms(window_ms),
+            Idempotency::Deduplicated { window_ms, .. } => self.now_ms < last_safe_send_ms(window_ms),
             Idempotency::NonIdempotent => false,
         }
     }
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -46,11 +46,11 @@
         // An ejected backend gets one probe, a request that can be retried, once its time is up.
         let is_idempotent = self.classes[request.class].idempotency != Idempotency::NonIdempotent;
         let ejection = backend.health[None].ejection;
-        let may_probe = is_idempotent && ejection.is_due(self.now) && backend.calls.is_empty();
+        let may_probe = is_idempotent && ejection.is_due(self.now_ms) && backend.calls.is_empty();
         // A class that is ejected there gets a probe too, idempotent or not: no other class can tell.
         let class_ejection = backend.health[Some(request.class)].ejection;
         let has_calls = backend.calls.iter().any(|call| call.class == request.class);
-        let may_probe_class = class_ejection.is_due(self.now) && !has_calls;
+        let may_probe_class = class_ejection.is_due(self.now_ms) && !has_calls;
         (!ejection.is_active() || may_probe) && (!class_ejection.is_active() || may_probe_class)
     }
 
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -16,9 +16,9 @@
     pub fn warm_up_fraction(&self, backend: &Backend) -> f64 {
         let guarantees = &self.settings.guarantees;
         let initial = guarantees.initial_capacity_fraction.min(1.0);
-        let started_at = backend.endpoint.started_at_ms;
-        let progress = (self.now - started_at) / guarantees.warm_up_ms.max(1.0);
-        let progress = if started_at > 0.0 { progress.clamp(0.0, 1.0) } else { 1.0 };
+        let started_at_ms = backend.endpoint.started_at_ms;
+        let progress = (self.now_ms - started_at_ms) / guarantees.warm_up_ms.max(1.0);
+        let progress = if started_at_ms > 0.0 { progress.clamp(0.0, 1.0) } else { 1.0 };
         initial * (1.0 - progress) + progress
     }
 
@@ -30,16 +30,20 @@
 
     /// Lets the budgets grow with the most that backends have proved to serve, at the capacity reached:
     /// what is answered just now is little where many warm up or all are idle.
-    pub fn refill_slow_start_budgets(&mut self, passed: f64) {
+    pub fn refill_slow_start_budgets(&mut self, elapsed_ms: f64) {
         let rate = self.limit.responses_per_warm_backend_ms;
-        self.response_rate.update(rate, (passed / RESPONSE_RATE_AVERAGE_MS).min(1.0));
-        self.peak_response_rate.record_after(self.response_rate.value(), passed, PEAK_RESPONSE_RATE_DECAY_MS);
+        self.response_rate.update(rate, (elapsed_ms / RESPONSE_RATE_AVERAGE_MS).min(1.0));
+        self.peak_response_rate.record_after(
+            self.response_rate.value(),
+            elapsed_ms,
+            PEAK_RESPONSE_RATE_DECAY_MS,
+        );
         // The tier serves what its tenants may ask of it: where all warm up, there would hardly be an answer.
         let quota: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s / 1000.0).sum();
         let instances = f64::from(self.settings.instance_count);
         let quota_rate = quota / instances / (self.subset.ring().len() as f64).max(1.0);
         let rate = self.peak_response_rate.value().max(quota_rate) * BUDGET_FRACTION;
-        let tokens = rate * self.settings.guarantees.overload_multiple * passed / self.process_count;
+        let tokens = rate * self.settings.guarantees.overload_multiple * elapsed_ms / self.process_count;
         for &id in self.subset.members() {
             let warm_up_fraction = self.warm_up_fraction(&self.backends[&id]);
             if let Some(backend) = self.backends.get_mut(&id) {
--- a/crates/balancer/src/policy/state.rs
+++ b/crates/balancer/src/policy/state.rs
@@ -20,20 +20,20 @@
 #[derive(Clone, Copy, PartialEq)]
 pub struct Call {
     pub request: RequestId,
-    pub sent_at: f64,
+    pub sent_at_ms: f64,
     pub class: usize, // slot
 }
 
 /// Whether a backend responds.
 #[derive(Default, Clone)]
 pub struct Health {
-    pub last_response_at: f64,
+    pub last_response_at_ms: f64,
     pub ejection: TimedExclusion,
 }
 
 impl Health {
-    pub fn responsive_at(now: f64) -> Self {
-        Health { last_response_at: now, ..Health::default() }
+    pub fn responsive_at(now_ms: f64) -> Self {
+        Health { last_response_at_ms: now_ms, ..Health::default() }
     }
 }
 
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub struct Attempt {
     pub endpoint: EndpointInfo, // that it was sent to, as it was then
-    pub sent_at: f64,
+    pub sent_at_ms: f64,
     pub is_in_flight: bool,
     pub never_ran: bool,
     pub holds_limit_slot: bool,
@@ -55,8 +55,8 @@
     pub quota: Quota,
     pub max_attempts: u32, // as it was admitted
     pub charged_tenant: Option<usize>,
-    pub deadline: f64,
-    pub queue_deadline: f64,
+    pub deadline_ms: f64,
+    pub queue_deadline_ms: f64,
     pub has_ended: bool,
     pub is_body_streamed: bool, // a backend begins work with the last byte
     pub is_body_consumed: bool, // it can't be sent again
--- a/crates/balancer/src/policy/subset.rs
+++ b/crates/balancer/src/policy/subset.rs
@@ -47,12 +47,12 @@
     }
 
     /// Widens at once with the calls in flight, narrows slowly; prefers this zone if crossing has a price.
-    pub fn resize_subset(&mut self, passed: f64) {
+    pub fn resize_subset(&mut self, elapsed_ms: f64) {
         let instances = self.settings.instance_count;
         let backends = self.subset.ring().len() as f64;
         let overlap = MIN_INSTANCES_PER_BACKEND * backends / f64::from(instances);
         let needed = (self.peak_in_flight.value() / CALLS_PER_MEMBER).max(overlap).max(MIN_SUBSET_SIZE);
-        let narrowed = self.subset_size * (1.0 - NARROWING_FRACTION_PER_S * passed / 1000.0);
+        let narrowed = self.subset_size * (1.0 - NARROWING_FRACTION_PER_S * elapsed_ms / 1000.0);
         self.subset_size = needed.max(narrowed).min(backends);
         let ring = self.subset.ring().iter().copied();
         let (remote, local): (Vec<_>, Vec<_>) = ring.partition(|&id| self.is_remote(id));
@@ -82,11 +82,11 @@
     }
 
     /// The share of calls that leaves the zone follows the latencies inside and outside of it.
-    pub fn update_spillover(&mut self, passed: f64) {
-        self.local_excess_latency.decay(passed, EXCESS_LATENCY_DECAY_MS);
-        self.remote_excess_latency.decay(passed, EXCESS_LATENCY_DECAY_MS);
+    pub fn update_spillover(&mut self, elapsed_ms: f64) {
+        self.local_excess_latency.decay(elapsed_ms, EXCESS_LATENCY_DECAY_MS);
+        self.remote_excess_latency.decay(elapsed_ms, EXCESS_LATENCY_DECAY_MS);
         let excess = self.local_excess_latency.value() - self.remote_excess_latency.value();
         let error = excess - self.settings.objective.cross_zone_price * CROSS_ZONE_LATENCY;
-        self.spillover.update(error, passed, SPILLOVER_GAIN, SPILLOVER_INTEGRAL_GAIN_PER_S);
+        self.spillover.update(error, elapsed_ms, SPILLOVER_GAIN, SPILLOVER_INTEGRAL_GAIN_PER_S);
     }
 }
--- a/crates/balancer/src/policy/tests.rs
+++ b/crates/balancer/src/policy/tests.rs
@@ -99,7 +99,7 @@
     serve(&mut limit, 20, 10.0, 3.0);
     limit.start_class(1, Some(0), 2.0 * OBJECTIVE);
     let (old, new) = (&limit.classes[0], &limit.classes[1]);
-    assert_eq!((new.profile, new.objective), (old.profile, 2.0 * OBJECTIVE));
+    assert_eq!((new.profile, new.objective_ms), (old.profile, 2.0 * OBJECTIVE));
     assert_eq!((old.in_flight.total(), new.in_flight.total()), (3.0, 0.0));
     assert_eq!(new.expected(), 10.0);
     limit.start_class(2, None, OBJECTIVE);
--- a/crates/balancer/src/stats/decaying_peak.rs
+++ b/crates/balancer/src/stats/decaying_peak.rs
@@ -18,7 +18,7 @@
     }
 
     /// Takes a value after a time; earlier ones fade by that time's part of `duration`.
-    pub fn record_after(&mut self, value: f64, passed: f64, duration: f64) {
-        self.value = value.max(self.value * (1.0 - passed / duration));
+    pub fn record_after(&mut self, value: f64, elapsed_ms: f64, duration_ms: f64) {
+        self.value = value.max(self.value * (1.0 - elapsed_ms / duration_ms));
     }
 }
--- a/crates/balancer/src/stats/load_window.rs
+++ b/crates/balancer/src/stats/load_window.rs
@@ -24,10 +24,10 @@
     }
 
     /// Time passed with so many servers and so much relative load in flight.
-    pub fn advance(&mut self, passed_ms: f64, servers: f64, relative_load: f64) {
-        self.elapsed_ms += passed_ms;
-        self.server_ms += passed_ms * servers;
-        self.load_ms += passed_ms * relative_load;
+    pub fn advance(&mut self, elapsed_ms: f64, servers: f64, relative_load: f64) {
+        self.elapsed_ms += elapsed_ms;
+        self.server_ms += elapsed_ms * servers;
+        self.load_ms += elapsed_ms * relative_load;
     }
 
     /// How long it has lasted.
--- a/crates/balancer/src/stats/moving_average.rs
+++ b/crates/balancer/src/stats/moving_average.rs
@@ -34,7 +34,7 @@
     }
 
     /// Fades towards 0 over a time.
-    pub fn decay(&mut self, passed: f64, duration: f64) {
-        self.value -= self.value * passed / duration;
+    pub fn decay(&mut self, elapsed_ms: f64, duration_ms: f64) {
+        self.value -= self.value * elapsed_ms / duration_ms;
     }
 }
--- a/crates/balancer/src/stats/pi_controller.rs
+++ b/crates/balancer/src/stats/pi_controller.rs
@@ -14,8 +14,8 @@
     }
 
     /// Follows an error that lasted for a time.
-    pub fn update(&mut self, error: f64, passed_ms: f64, gain: f64, integral_gain_per_s: f64) {
-        let step = integral_gain_per_s * error * passed_ms / 1000.0;
+    pub fn update(&mut self, error: f64, elapsed_ms: f64, gain: f64, integral_gain_per_s: f64) {
+        let step = integral_gain_per_s * error * elapsed_ms / 1000.0;
         self.integral = (self.integral + step).clamp(0.0, 1.0);
         self.output = (self.integral + gain * error).clamp(0.0, 1.0);
     }
