--- a/crates/balancer/src/collections/levels.rs
+++ b/crates/balancer/src/collections/levels.rs
@@ -11,18 +11,18 @@
 
 /// The distinct levels of some values, highest first; values within `tolerance` are of one level. The claiming ones
 /// share the whole by their values, levels of the others alone have no share.
-pub fn shared_levels(claiming: &[f64], others: &[f64], tolerance: f64) -> Vec<Level> {
-    let mut values: Vec<f64> = claiming.iter().chain(others).copied().collect();
+pub fn levels_with_shares(sharing: &[f64], others: &[f64], tolerance: f64) -> Vec<Level> {
+    let mut values: Vec<f64> = sharing.iter().chain(others).copied().collect();
     values.sort_by(|a, b| b.total_cmp(a));
     values.dedup_by(|a, b| (*a - *b).abs() < tolerance);
-    let claims = |value: f64| claiming.iter().any(|claimed| (claimed - value).abs() < tolerance);
-    let claim = |&value: &f64| if claims(value) { value } else { 0.0 };
-    let sum = values.iter().map(claim).sum::<f64>().max(tolerance);
-    values.iter().map(|value| Level { value: *value, share: claim(value) / sum }).collect()
+    let is_sharing = |value: f64| sharing.iter().any(|shared| (shared - value).abs() < tolerance);
+    let shared_value = |&value: &f64| if is_sharing(value) { value } else { 0.0 };
+    let sum = values.iter().map(shared_value).sum::<f64>().max(tolerance);
+    values.iter().map(|value| Level { value: *value, share: shared_value(value) / sum }).collect()
 }
 
 /// The place of the level that is nearest to `value`; the first of several, and 0 if there is none.
 pub fn nearest_level(levels: &[Level], value: f64) -> usize {
-    let distance = |place: usize| (levels[place].value - value).abs();
+    let distance = |index: usize| (levels[index].value - value).abs();
     (0..levels.len()).min_by(|&a, &b| distance(a).total_cmp(&distance(b))).unwrap_or(0)
 }
--- a/crates/balancer/src/collections/mod.rs
+++ b/crates/balancer/src/collections/mod.rs
@@ -17,12 +17,12 @@
 pub use by_class::ByClass;
 pub use by_quota::{ByQuota, Quota};
 pub use keyed_queues::KeyedQueues;
-pub use levels::{nearest_level, shared_levels};
+pub use levels::{levels_with_shares, nearest_level};
 pub use random_pair::random_pair;
 pub use ring_subset::{RingSubset, ring_window};
 pub use sliced_queue::Slices;
 #[cfg(test)]
-use slot_table::StartedSlot;
+use slot_table::AssignedSlot;
 pub use slot_table::{SlotTable, set_slot};
 pub use suspensions::Suspensions;
 pub use tenant_quotas::TenantQuotas;
--- a/crates/balancer/src/collections/ring_subset.rs
+++ b/crates/balancer/src/collections/ring_subset.rs
@@ -66,7 +66,7 @@
     instance_index: u32,
     instance_count: u32,
     wanted: f64,
-    counts: impl Fn(T) -> bool,
+    is_counted: impl Fn(T) -> bool,
 ) -> Vec<T> {
     let offset = f64::from(instance_index) * ring.len() as f64 / f64::from(instance_count);
     let mut missing = wanted;
@@ -76,7 +76,7 @@
             break;
         }
         window.push(item);
-        if counts(item) {
+        if is_counted(item) {
             missing -= 1.0;
         }
     }
--- a/crates/balancer/src/collections/slot_table.rs
+++ b/crates/balancer/src/collections/slot_table.rs
@@ -6,19 +6,19 @@
 #[derive(Debug, Default)]
 struct Slot<T> {
     value: T,
-    users: usize,
+    use_count: usize,
 }
 
 /// The slots, and which of them are in force, by place.
 #[derive(Debug)]
 pub struct SlotTable<T> {
     slots: Vec<Slot<T>>,
-    slot_by_place: Vec<usize>,
+    slot_by_index: Vec<usize>,
 }
 
 /// A slot that got another value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StartedSlot {
+pub struct AssignedSlot {
     /// The slot.
     pub slot: usize,
     /// The slot of the value that it continues.
@@ -27,7 +27,7 @@
 
 impl<T> Default for SlotTable<T> {
     fn default() -> Self {
-        SlotTable { slots: Vec::new(), slot_by_place: Vec::new() }
+        SlotTable { slots: Vec::new(), slot_by_index: Vec::new() }
     }
 }
 
@@ -51,51 +51,51 @@
     }
 
     /// The slot in force at a place.
-    pub fn slot_of(&self, place: u16) -> Option<usize> {
-        self.slot_by_place.get(usize::from(place)).copied()
+    pub fn slot_at(&self, index: u16) -> Option<usize> {
+        self.slot_by_index.get(usize::from(index)).copied()
     }
 
     /// Somebody begins to use a slot.
     pub fn acquire(&mut self, slot: usize) {
-        self.slots[slot].users += 1;
+        self.slots[slot].use_count += 1;
     }
 
     /// Somebody no longer uses a slot.
     pub fn release(&mut self, slot: usize) {
-        self.slots[slot].users -= 1;
+        self.slots[slot].use_count -= 1;
     }
 
     /// Puts values in force; each may continue the one of an earlier place. Returns the slots that got another
     /// value. None of them was in force before, so what is known by slot of a continued value is still there.
-    pub fn replace(&mut self, values: &[T], continued: &[Option<u16>]) -> Vec<StartedSlot> {
-        let before = std::mem::take(&mut self.slot_by_place);
-        let mut started = Vec::new();
-        for (value, old_place) in values.iter().zip(continued) {
-            let continues = old_place.map(|place| before[usize::from(place)]);
+    pub fn replace(&mut self, values: &[T], continued: &[Option<u16>]) -> Vec<AssignedSlot> {
+        let before = std::mem::take(&mut self.slot_by_index);
+        let mut assigned = Vec::new();
+        for (value, old_index) in values.iter().zip(continued) {
+            let continues = old_index.map(|index| before[usize::from(index)]);
             let unchanged = continues.filter(|&slot| self.slots[slot].value == *value);
-            let slot = unchanged.unwrap_or_else(|| self.start(value, &before));
+            let slot = unchanged.unwrap_or_else(|| self.assign_slot(value, &before));
             if unchanged.is_none() {
-                started.push(StartedSlot { slot, continues });
+                assigned.push(AssignedSlot { slot, continues });
             }
-            self.slot_by_place.push(slot);
+            self.slot_by_index.push(slot);
         }
-        started
+        assigned
     }
 
     /// Removes the slots behind the last one in use; returns how many are left.
     pub fn truncate(&mut self) -> usize {
-        let is_used = |&slot: &usize| self.slots[slot].users > 0 || self.slot_by_place.contains(&slot);
+        let is_used = |&slot: &usize| self.slots[slot].use_count > 0 || self.slot_by_index.contains(&slot);
         let used = (0..self.slots.len()).rfind(is_used).map_or(0, |slot| slot + 1);
         self.slots.truncate(used);
         used
     }
 
     /// Puts a value into a slot that nobody uses, a new one if there is none.
-    fn start(&mut self, value: &T, in_force_before: &[usize]) -> usize {
+    fn assign_slot(&mut self, value: &T, in_force_before: &[usize]) -> usize {
         let is_free = |&slot: &usize| {
-            self.slots[slot].users == 0
+            self.slots[slot].use_count == 0
                 && !in_force_before.contains(&slot)
-                && !self.slot_by_place.contains(&slot)
+                && !self.slot_by_index.contains(&slot)
         };
         let value = value.clone();
         match (0..self.slots.len()).find(is_free) {
@@ -104,7 +104,7 @@
                 slot
             }
             None => {
-                self.slots.push(Slot { value, users: 0 });
+                self.slots.push(Slot { value, use_count: 0 });
                 self.slots.len() - 1
             }
         }
--- a/crates/balancer/src/collections/suspensions.rs
+++ b/crates/balancer/src/collections/suspensions.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Resumed {
     at_ms: f64,
-    was_in_use: bool,
+    was_member: bool,
 }
 
 /// The suspended and the resumed, by their ids.
@@ -28,14 +28,14 @@
     }
 
     /// Suspends somebody who was in use, or not.
-    pub fn suspend(&mut self, id: K, was_in_use: bool) {
-        self.suspended.insert(id, was_in_use);
+    pub fn suspend(&mut self, id: K, was_member: bool) {
+        self.suspended.insert(id, was_member);
     }
 
     /// Resumes somebody.
     pub fn resume(&mut self, id: K, now_ms: f64) {
-        let was_in_use = self.suspended.remove(&id).unwrap_or(false);
-        self.resumed.insert(id, Resumed { at_ms: now_ms, was_in_use });
+        let was_member = self.suspended.remove(&id).unwrap_or(false);
+        self.resumed.insert(id, Resumed { at_ms: now_ms, was_member });
     }
 
     /// When somebody was resumed; 0 where that is long ago, or never was.
@@ -44,12 +44,12 @@
     }
 
     /// Those resumed who had been in use before.
-    pub fn resumed_for_use(&self) -> impl Iterator<Item = K> {
-        self.resumed.iter().filter(|(_, resumed)| resumed.was_in_use).map(|(&id, _)| id)
+    pub fn resumed_members(&self) -> impl Iterator<Item = K> {
+        self.resumed.iter().filter(|(_, resumed)| resumed.was_member).map(|(&id, _)| id)
     }
 
     /// Forgets those resumed as long ago as this, or longer.
-    pub fn forget_resumed(&mut self, now_ms: f64, duration_ms: f64) {
+    pub fn prune_resumed(&mut self, now_ms: f64, duration_ms: f64) {
         self.resumed.retain(|_, resumed| now_ms - resumed.at_ms < duration_ms);
     }
 }
--- a/crates/balancer/src/collections/tests.rs
+++ b/crates/balancer/src/collections/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_value_is_kept_for_each_side_of_the_quota() {
+fn by_quota_keeps_one_value_per_quota_state() {
     let mut counts = ByQuota { within: 1, over: 10 };
     counts[Quota::Over] += 5;
     assert_eq!((counts[Quota::Within], counts[Quota::Over]), (1, 15));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn items_of_one_key_are_dispatched_one_at_a_time_in_order() {
+fn items_of_a_key_are_dispatched_one_at_a_time_in_order() {
     let mut queues = KeyedQueues::default();
     assert!(!queues.push(7, 'a'), "the first is dispatched at once");
     assert!(queues.push(7, 'b'));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_waiting_item_can_be_removed_and_an_empty_queue_is_forgotten() {
+fn queued_item_can_be_removed_and_empty_queue_dropped() {
     let mut queues = KeyedQueues::default();
     queues.push(7, 'a');
     queues.push(7, 'b');
@@ -50,28 +50,28 @@
 }
 
 #[test]
-fn a_changed_value_gets_another_slot_and_the_old_one_serves_again_once_unused() {
+fn changed_value_gets_a_slot_that_is_not_in_use() {
     let mut table = SlotTable::default();
     let first = table.replace(&["a", "b"], &[None, None]);
-    assert_eq!(first.iter().map(|started| started.slot).collect::<Vec<_>>(), [0, 1]);
+    assert_eq!(first.iter().map(|assigned| assigned.slot).collect::<Vec<_>>(), [0, 1]);
     table.acquire(0);
     // Changed while in use: another slot, which knows where it comes from.
     let second = table.replace(&["c", "b"], &[Some(0), Some(1)]);
-    assert_eq!(second, [StartedSlot { slot: 2, continues: Some(0) }]);
-    assert_eq!((table.slot_of(0), table.slot_of(1), table.slot_of(2)), (Some(2), Some(1), None));
+    assert_eq!(second, [AssignedSlot { slot: 2, continues: Some(0) }]);
+    assert_eq!((table.slot_at(0), table.slot_at(1), table.slot_at(2)), (Some(2), Some(1), None));
     assert_eq!((table[0], table.truncate()), ("a", 3));
     // Once nobody uses it, the old slot is taken again, and slots behind the last one in use are removed.
     table.release(0);
     assert_eq!(
         table.replace(&["d", "b"], &[Some(0), Some(1)]),
-        [StartedSlot { slot: 0, continues: Some(2) }]
+        [AssignedSlot { slot: 0, continues: Some(2) }]
     );
     assert_eq!((table.truncate(), table.len()), (2, 2));
     assert_eq!(table.values().copied().collect::<Vec<_>>(), ["d", "b"]);
 }
 
 #[test]
-fn slices_count_what_is_in_flight_and_keep_what_waits_when_they_are_cut_anew() {
+fn replaced_slices_keep_total_and_return_queued_items() {
     let mut slices = Slices::default();
     assert_eq!(slices.replace([0.75, 0.25].into_iter()), Vec::<char>::new());
     slices.begin(0);
@@ -112,8 +112,8 @@
 }
 
 #[test]
-fn levels_are_distinct_and_those_that_claim_share_the_whole() {
-    let levels = shared_levels(&[1.0, 3.0], &[2.0 - 1e-12, 2.0, 3.0], 1e-9);
+fn levels_are_distinct_and_sharing_ones_split_the_whole() {
+    let levels = levels_with_shares(&[1.0, 3.0], &[2.0 - 1e-12, 2.0, 3.0], 1e-9);
     let shares: Vec<f64> = levels.iter().map(|level| level.share).collect();
     assert_eq!(shares, [0.75, 0.0, 0.25]);
     assert_eq!([3.1, 2.4, 2.5, 0.0].map(|value| nearest_level(&levels, value)), [0, 1, 0, 2]);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn who_is_resumed_counts_for_a_while_and_as_in_use_if_it_was() {
+fn resumed_id_expires_and_keeps_its_membership() {
     let mut suspensions = Suspensions::default();
     suspensions.suspend('a', true);
     suspensions.suspend('b', false);
@@ -131,15 +131,15 @@
     }
     assert!(!suspensions.is_suspended('a'));
     assert_eq!((suspensions.resumed_at_ms('a'), suspensions.resumed_at_ms('d')), (10.0, 0.0));
-    assert_eq!(suspensions.resumed_for_use().collect::<Vec<_>>(), ['a']);
-    suspensions.forget_resumed(14.0, 5.0);
+    assert_eq!(suspensions.resumed_members().collect::<Vec<_>>(), ['a']);
+    suspensions.prune_resumed(14.0, 5.0);
     assert_eq!(suspensions.resumed_at_ms('a'), 10.0);
-    suspensions.forget_resumed(15.0, 5.0);
+    suspensions.prune_resumed(15.0, 5.0);
     assert_eq!(suspensions.resumed_at_ms('a'), 0.0);
 }
 
 #[test]
-fn a_tenant_that_continues_another_keeps_its_charge() {
+fn continuing_tenant_keeps_its_charge() {
     let mut quotas = TenantQuotas::default();
     quotas.replace(&[None, None]);
     let charge = |quotas: &mut TenantQuotas, tenant| quotas.charge(tenant, 0.0, 0.0, 1.0);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_value_is_kept_for_all_classes_and_for_each() {
+fn by_class_keeps_an_overall_value_and_one_per_class() {
     let mut values = ByClass::new(1, 2);
     values[None] = 5;
     values[Some(1)] = 7;
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use super::Policy;
 use crate::api::{Class, RequestId, UnservedReason};
-use crate::collections::{ByQuota, Quota, nearest_level, shared_levels};
+use crate::collections::{ByQuota, Quota, levels_with_shares, nearest_level};
 
 const WEIGHT_TOLERANCE: f64 = 1e-9; // weights no further apart share a slice
 const QUEUE_TIME_FRACTION: f64 = 0.125; // of the objective that a request may wait in the first tier ...
@@ -34,7 +34,7 @@
         let within: Vec<f64> = weights.clone().map(|weight| weight.within).collect();
         let over: Vec<f64> = weights.map(|weight| weight.over).filter(|_| has_quotas).collect();
         // Requests over their tenant's quota claim nothing but what is left over and the floor of one slot.
-        let levels = shared_levels(&within, &over, WEIGHT_TOLERANCE);
+        let levels = levels_with_shares(&within, &over, WEIGHT_TOLERANCE);
         let queued = self.slices.replace(levels.iter().map(|level| level.share));
         let weights = self.classes.values().map(|class| self.weight_of(class));
         self.slices_of_class =
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -119,7 +119,7 @@
         let members = self.subset.members().iter();
         let warm: f64 = members.map(|id| self.warm_up_fraction(&self.backends[id])).sum();
         self.limit.advance(elapsed_ms, warm.max(1.0));
-        self.suspensions.forget_resumed(self.now_ms, self.settings.guarantees.warm_up_ms);
+        self.suspensions.prune_resumed(self.now_ms, self.settings.guarantees.warm_up_ms);
         self.scale_limit_to_warm_capacity();
         self.update_spillover(elapsed_ms);
         self.resize_subset(elapsed_ms);
--- a/crates/balancer/src/policy/reconfigure.rs
+++ b/crates/balancer/src/policy/reconfigure.rs
@@ -28,13 +28,13 @@
 
     /// Gives each class a slot, and what was learned of the class that it continues.
     fn replace_classes(&mut self, classes: &[Class], continued: &[Option<u16>]) {
-        for started in self.classes.replace(classes, continued) {
-            let objective_ms = self.classes[started.slot].latency_objective_ms;
-            self.limit.start_class(started.slot, started.continues, objective_ms);
+        for assigned in self.classes.replace(classes, continued) {
+            let objective_ms = self.classes[assigned.slot].latency_objective_ms;
+            self.limit.start_class(assigned.slot, assigned.continues, objective_ms);
             for backend in self.backends.values_mut() {
-                let continued = started.continues.map(|slot| backend.health[Some(slot)].clone());
+                let continued = assigned.continues.map(|slot| backend.health[Some(slot)].clone());
                 let health = continued.unwrap_or_else(|| Health::responsive_at(self.now_ms));
-                backend.health.set(started.slot, health);
+                backend.health.set(assigned.slot, health);
             }
         }
         let used = self.classes.truncate();
@@ -45,9 +45,9 @@
     /// What was charged to a tenant that is gone is refunded to nobody.
     fn replace_tenants(&mut self, continued: &[Option<u16>]) {
         self.tenant_quotas.replace(continued);
-        let new_place = |old: usize| continued.iter().position(|place| place.map(usize::from) == Some(old));
+        let new_index = |old: usize| continued.iter().position(|index| index.map(usize::from) == Some(old));
         for request in self.requests.values_mut() {
-            request.charged_tenant = request.charged_tenant.and_then(new_place);
+            request.charged_tenant = request.charged_tenant.and_then(new_index);
         }
     }
 }
--- a/crates/balancer/src/policy/request_lifecycle.rs
+++ b/crates/balancer/src/policy/request_lifecycle.rs
@@ -7,7 +7,7 @@
 impl Policy {
     pub fn on_request(&mut self, arrival: &RequestArrival) {
         let id = arrival.request;
-        let Some(class) = self.classes.slot_of(arrival.class) else {
+        let Some(class) = self.classes.slot_at(arrival.class) else {
             let reason = UnservedReason::UnknownClass;
             return self.actions.push(Action::Fail { request: id, reason });
         };
--- a/crates/balancer/src/policy/subset.rs
+++ b/crates/balancer/src/policy/subset.rs
@@ -69,7 +69,7 @@
         let (local, remote) = (choose(&local, 1.0 - remote_share), choose(&remote, remote_share));
         self.subset.set_members(local, remote);
         // What was in use before the operators suspended it is in use again, though the subset has moved.
-        for id in self.suspensions.resumed_for_use() {
+        for id in self.suspensions.resumed_members() {
             self.subset.add_member(id, !self.is_remote(id));
         }
     }
--- a/crates/balancer/src/policy/tests.rs
+++ b/crates/balancer/src/policy/tests.rs
@@ -3,14 +3,14 @@
 use super::concurrency_limit::ConcurrencyLimit;
 use crate::collections::Quota;
 
-const OBJECTIVE: f64 = 1000.0;
+const OBJECTIVE_MS: f64 = 1000.0;
 /// The mean latency at which the limit is full, by the objective.
-const TARGET: f64 = 300.0;
+const TARGET_MS: f64 = 300.0;
 
 /// A limit of 10 for one class, in which as many calls are in flight as are given.
 fn limit_with(in_flight: usize) -> ConcurrencyLimit {
     let mut limit = ConcurrencyLimit::default();
-    limit.start_class(0, None, OBJECTIVE);
+    limit.start_class(0, None, OBJECTIVE_MS);
     limit.raise_to(10.0);
     for calls in 1..=in_flight {
         limit.begin_call(0, Quota::Within, calls as f64);
@@ -28,31 +28,31 @@
 }
 
 #[test]
-fn a_used_limit_grows_by_no_more_than_its_step_while_responses_are_quick() {
+fn saturated_limit_grows_by_at_most_one_step() {
     let mut limit = limit_with(10);
     serve(&mut limit, 20, 10.0, 10.0);
     assert_eq!(limit.total(), 15.0);
 }
 
 #[test]
-fn an_unused_limit_stays_as_it_is() {
+fn unsaturated_limit_does_not_grow() {
     let mut limit = limit_with(2);
     serve(&mut limit, 20, 10.0, 2.0);
     assert_eq!(limit.total(), 10.0);
 }
 
 #[test]
-fn a_queue_that_both_views_show_cuts_the_limit_by_no_more_than_its_step() {
+fn queue_in_both_views_cuts_by_at_most_one_step() {
     let mut limit = limit_with(10);
     // Quick responses first: the baseline is low, and the target follows from the objective.
     serve(&mut limit, 20, 10.0, 10.0);
     let before = limit.total();
-    serve(&mut limit, 20, 4.0 * TARGET, 10.0);
+    serve(&mut limit, 20, 4.0 * TARGET_MS, 10.0);
     assert!(limit.total() < before && limit.total() >= 0.7 * before, "{} of {before}", limit.total());
 }
 
 #[test]
-fn calls_without_responses_alone_cut_nothing() {
+fn unanswered_calls_alone_do_not_cut_the_limit() {
     let mut limit = limit_with(10);
     for _ in 0..20 {
         limit.record_served(0, 10.0);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn time_outs_count_as_drops_only_while_responses_are_slow() {
+fn timeouts_are_drops_only_while_responses_are_slow() {
     let timed_out = |latency: f64| {
         let mut limit = limit_with(2);
         serve(&mut limit, 20, 10.0, 2.0);
@@ -72,11 +72,11 @@
         limit.total()
     };
     assert_eq!(timed_out(10.0), 10.0);
-    assert!(timed_out(2.0 * OBJECTIVE) < 10.0);
+    assert!(timed_out(2.0 * OBJECTIVE_MS) < 10.0);
 }
 
 #[test]
-fn a_window_with_few_outcomes_is_not_judged() {
+fn window_with_few_outcomes_does_not_change_the_limit() {
     let mut limit = limit_with(10);
     serve(&mut limit, 9, 10.0, 10.0);
     assert_eq!(limit.total(), 10.0);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn the_limit_follows_the_capacity_behind_it_and_never_falls_below_one() {
+fn limit_scales_with_capacity_but_never_below_one() {
     let mut limit = limit_with(0);
     limit.scale(4.0, 2.0);
     assert_eq!(limit.total(), 5.0);
@@ -94,14 +94,14 @@
 }
 
 #[test]
-fn a_class_that_continues_another_keeps_what_was_learned_and_no_calls() {
+fn continuing_class_keeps_latencies_but_no_calls() {
     let mut limit = limit_with(3);
     serve(&mut limit, 20, 10.0, 3.0);
-    limit.start_class(1, Some(0), 2.0 * OBJECTIVE);
+    limit.start_class(1, Some(0), 2.0 * OBJECTIVE_MS);
     let (old, new) = (&limit.classes[0], &limit.classes[1]);
-    assert_eq!((new.profile, new.objective_ms), (old.profile, 2.0 * OBJECTIVE));
+    assert_eq!((new.profile, new.objective_ms), (old.profile, 2.0 * OBJECTIVE_MS));
     assert_eq!((old.in_flight.total(), new.in_flight.total()), (3.0, 0.0));
     assert_eq!(new.expected(), 10.0);
-    limit.start_class(2, None, OBJECTIVE);
-    assert_eq!(limit.classes[2].expected(), OBJECTIVE, "nothing is known yet");
+    limit.start_class(2, None, OBJECTIVE_MS);
+    assert_eq!(limit.classes[2].expected(), OBJECTIVE_MS, "nothing is known yet");
 }
--- a/crates/balancer/src/settings_format.rs
+++ b/crates/balancer/src/settings_format.rs
@@ -65,10 +65,10 @@
 }
 
 /// Reads a figure that must be finite and not negative.
-fn figure<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    let figure = f64::deserialize(from)?;
-    if figure.is_finite() && figure >= 0.0 {
-        Ok(figure)
+fn non_negative<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    let value = f64::deserialize(from)?;
+    if value.is_finite() && value >= 0.0 {
+        Ok(value)
     } else {
         Err(D::Error::custom("must be finite and not negative"))
     }
@@ -86,9 +86,9 @@
     zone: u16,
     #[serde(rename = "localities", default)]
     zone_names: Vec<String>,
-    #[serde(rename = "tick", deserialize_with = "figure")]
+    #[serde(rename = "tick", deserialize_with = "non_negative")]
     tick_ms: f64,
-    #[serde(rename = "overShareWorth", deserialize_with = "figure")]
+    #[serde(rename = "overShareWorth", deserialize_with = "non_negative")]
     over_quota_weight: f64,
     discovery: DiscoveryObject,
     classes: Vec<ClassObject>,
@@ -115,17 +115,17 @@
 struct ClassObject {
     #[serde(default)]
     name: String,
-    #[serde(rename = "aim", deserialize_with = "figure")]
+    #[serde(rename = "aim", deserialize_with = "non_negative")]
     latency_objective_ms: f64,
-    #[serde(rename = "giveUp", default, deserialize_with = "figure")]
+    #[serde(rename = "giveUp", default, deserialize_with = "non_negative")]
     client_timeout_ms: f64,
-    #[serde(rename = "points", deserialize_with = "figure")]
+    #[serde(rename = "points", deserialize_with = "non_negative")]
     priority_weight: f64,
     #[serde(rename = "semantics")]
     idempotency: IdempotencyObject,
     #[serde(rename = "group")]
     deduplication_scope: DeduplicationScopeObject,
-    #[serde(rename = "window", deserialize_with = "figure")]
+    #[serde(rename = "window", deserialize_with = "non_negative")]
     deduplication_window_ms: f64,
     #[serde(rename = "fifoByKey", default)]
     is_ordered_by_key: bool,
@@ -156,7 +156,7 @@
 struct TenantObject {
     #[serde(default)]
     name: String,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     quota_per_s: f64,
 }
 
@@ -166,47 +166,47 @@
     can_cancel: bool,
     #[serde(rename = "retryAfter")]
     sends_retry_after: bool,
-    #[serde(rename = "maxRetryAfter", deserialize_with = "figure")]
+    #[serde(rename = "maxRetryAfter", deserialize_with = "non_negative")]
     max_retry_after_ms: f64,
     #[serde(rename = "tryLimit")]
     max_attempts: u32,
     #[serde(rename = "openCap", default)]
     max_open_requests: usize,
-    #[serde(rename = "connIdle", default, deserialize_with = "figure")]
+    #[serde(rename = "connIdle", default, deserialize_with = "non_negative")]
     connection_idle_ms: f64,
-    #[serde(rename = "connectTimeout", default, deserialize_with = "figure")]
+    #[serde(rename = "connectTimeout", default, deserialize_with = "non_negative")]
     connect_timeout_ms: f64,
 }
 
 #[derive(Deserialize)]
 struct GuaranteesObject {
-    #[serde(rename = "coldFrom", deserialize_with = "figure")]
+    #[serde(rename = "coldFrom", deserialize_with = "non_negative")]
     initial_capacity_fraction: f64,
-    #[serde(rename = "cold", deserialize_with = "figure")]
+    #[serde(rename = "cold", deserialize_with = "non_negative")]
     warm_up_ms: f64,
-    #[serde(rename = "fallMultiple", deserialize_with = "figure")]
+    #[serde(rename = "fallMultiple", deserialize_with = "non_negative")]
     overload_multiple: f64,
-    #[serde(rename = "askWithin", default, deserialize_with = "figure")]
+    #[serde(rename = "askWithin", default, deserialize_with = "non_negative")]
     poll_within_ms: f64,
-    #[serde(rename = "releaseWithin", default, deserialize_with = "figure")]
+    #[serde(rename = "releaseWithin", default, deserialize_with = "non_negative")]
     idle_release_ms: f64,
-    #[serde(rename = "settleAfterDoubt", default, deserialize_with = "figure")]
+    #[serde(rename = "settleAfterDoubt", default, deserialize_with = "non_negative")]
     key_quarantine_ms: f64,
-    #[serde(rename = "stopSendingWithin", default, deserialize_with = "figure")]
+    #[serde(rename = "stopSendingWithin", default, deserialize_with = "non_negative")]
     drain_deadline_ms: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct ObjectiveObject {
-    #[serde(rename = "worstClass", deserialize_with = "figure")]
+    #[serde(rename = "worstClass", deserialize_with = "non_negative")]
     worst_class_weight: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct PricesObject {
-    #[serde(rename = "crossZone", deserialize_with = "figure")]
+    #[serde(rename = "crossZone", deserialize_with = "non_negative")]
     cross_zone_price: f64,
 }
 
--- a/crates/balancer/src/settings_validation.rs
+++ b/crates/balancer/src/settings_validation.rs
@@ -102,8 +102,8 @@
 /// Whether each of `new` classes or tenants names which of `old` it continues, and none is continued twice.
 fn is_continuation(continued: &[Option<u16>], old: usize, new: usize) -> bool {
     let mut is_taken = vec![false; old];
-    for place in continued.iter().flatten() {
-        match is_taken.get_mut(usize::from(*place)) {
+    for index in continued.iter().flatten() {
+        match is_taken.get_mut(usize::from(*index)) {
             Some(is_taken) if !*is_taken => *is_taken = true,
             _ => return false,
         }
@@ -112,5 +112,5 @@
 }
 
 fn is_in_place(continued: &[Option<u16>]) -> bool {
-    continued.iter().enumerate().all(|(place, old)| old.map(usize::from) == Some(place))
+    continued.iter().enumerate().all(|(index, old)| old.map(usize::from) == Some(index))
 }
--- a/crates/balancer/src/stats/capped_mean.rs
+++ b/crates/balancer/src/stats/capped_mean.rs
@@ -21,8 +21,8 @@
     }
 
     /// Takes a sample into a mean over `memory` samples; it counts at most `max_ratio` times the mean.
-    pub fn record(&mut self, sample: f64, memory: f64, max_ratio: f64) {
-        self.samples = (self.samples + 1.0).min(memory);
+    pub fn record(&mut self, sample: f64, max_samples: f64, max_ratio: f64) {
+        self.samples = (self.samples + 1.0).min(max_samples);
         let cap = max_ratio * self.mean.value().max(sample / self.samples);
         self.mean.update_as_one_of(sample.min(cap), self.samples);
     }
--- a/crates/balancer/src/stats/latency_profile.rs
+++ b/crates/balancer/src/stats/latency_profile.rs
@@ -32,8 +32,8 @@
 
     /// Takes a sample into a mean over `memory` samples, at most `max_ratio` times the mean. The baseline
     /// follows the mean down, and anywhere as long as there are fewer than `min_samples`.
-    pub fn record(&mut self, latency: f64, memory: f64, max_ratio: f64, min_samples: f64) {
-        self.mean.record(latency, memory, max_ratio);
+    pub fn record(&mut self, latency: f64, max_samples: f64, max_ratio: f64, min_samples: f64) {
+        self.mean.record(latency, max_samples, max_ratio);
         if self.mean() < self.baseline() || self.samples() < min_samples {
             self.baseline = MovingAverage::new(self.mean());
         }
--- a/crates/balancer/src/stats/prior_mean.rs
+++ b/crates/balancer/src/stats/prior_mean.rs
@@ -26,8 +26,8 @@
     }
 
     /// Takes a sample into a mean over `memory` samples, in which the prior counts as `prior_samples`.
-    pub fn record(&mut self, sample: f64, memory: f64, prior_samples: f64) {
-        self.samples = (self.samples + 1.0).min(memory);
+    pub fn record(&mut self, sample: f64, max_samples: f64, prior_samples: f64) {
+        self.samples = (self.samples + 1.0).min(max_samples);
         self.mean.update_as_one_of(sample, self.samples + prior_samples);
     }
 }
--- a/crates/balancer/src/stats/tests.rs
+++ b/crates/balancer/src/stats/tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_full_bucket_gives_up_to_its_capacity_and_then_what_it_earns() {
+fn bucket_gives_its_capacity_then_its_refill_rate() {
     let mut bucket = TokenBucket::with_tokens(f64::MAX);
     let mut try_take_at = |now_ms| {
         bucket.refill(now_ms, 2.0, 3.0);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_token_that_is_given_back_can_be_taken_again() {
+fn returned_token_can_be_taken_again() {
     let mut bucket = TokenBucket::with_tokens(1.0);
     assert!(bucket.try_take());
     assert!(!bucket.try_take());
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_debt_is_earned_back_first() {
+fn debt_is_repaid_before_a_token_is_available() {
     let mut bucket = TokenBucket::with_tokens(0.5);
     bucket.take();
     bucket.add_tokens(1.0, 1.0);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_peak_fades_until_a_higher_value_comes() {
+fn peak_decays_until_a_higher_value() {
     let mut peak = DecayingPeak::default();
     peak.record(8.0);
     peak.record(4.0);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_window_gives_the_mean_latency_by_both_views() {
+fn load_window_gives_the_mean_latency_by_both_views() {
     let mut window = LoadWindow::default();
     assert_eq!((window.latency_by_load(), window.latency_by_responses()), (0.0, 0.0));
     window.advance(100.0, 2.0, 0.5);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_prior_counts_for_some_samples() {
+fn prior_counts_as_a_fixed_number_of_samples() {
     let mut mean = PriorMean::new(1.0);
     mean.record(6.0, 2.0, 4.0);
     assert_eq!((mean.value(), mean.samples()), (2.0, 1.0));
@@ -159,9 +159,9 @@
 }
 
 #[test]
-fn consecutive_phases_leave_no_large_gap() {
-    let mut phases: Vec<f64> = (0..50).map(|index| low_discrepancy_point(f64::from(index))).collect();
-    phases.sort_by(f64::total_cmp);
-    let gaps = phases.windows(2).map(|pair| pair[1] - pair[0]);
+fn consecutive_points_leave_no_large_gap() {
+    let mut points: Vec<f64> = (0..50).map(|index| low_discrepancy_point(f64::from(index))).collect();
+    points.sort_by(f64::total_cmp);
+    let gaps = points.windows(2).map(|pair| pair[1] - pair[0]);
     assert!(gaps.fold(0.0, f64::max) < 2.0 / 50.0);
 }
