--- a/crates/balancer/examples/reconfigure.rs
+++ b/crates/balancer/examples/reconfigure.rs
@@ -5,9 +5,9 @@
 use foldhitch_balancer::api::*;
 use std::time::Instant;
 
-const LISTED: u32 = 720;
-const IN_WORK: u64 = 100;
-const CHANGES: usize = 2400;
+const BACKENDS: u32 = 720;
+const OPEN_REQUESTS: u64 = 100;
+const UPDATES: usize = 2400;
 
 fn settings(n: usize) -> Settings {
     let class = |place: usize| Class {
@@ -32,7 +32,7 @@
 }
 
 /// Resident memory in kB.
-fn resident() -> u64 {
+fn resident_memory_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or_default()
@@ -40,22 +40,22 @@
 
 fn main() -> Result<(), SettingsError> {
     let mut balancer = Balancer::new(settings(0), 42)?;
-    let (mut now, mut out) = (1000.0, Vec::new());
-    let endpoints = (1..=LISTED)
+    let (mut now_ms, mut actions) = (1000.0, Vec::new());
+    let endpoints = (1..=BACKENDS)
         .map(|backend| EndpointInfo { backend, weight: 1.0, ..EndpointInfo::default() })
         .collect();
-    balancer.handle(now, Event::EndpointList { kind: EndpointListKind::Full, endpoints }, &mut out);
-    for request in 1..=IN_WORK {
+    balancer.handle(now_ms, Event::EndpointList { kind: EndpointListKind::Full, endpoints }, &mut actions);
+    for request in 1..=OPEN_REQUESTS {
         let (class, tenant) = ((request % 5) as u16, (request % 20) as u16);
         let arrival =
             RequestArrival { request, key: 0, class, tenant, deadline_ms: 1e9, is_body_streamed: false };
-        balancer.handle(now, Event::RequestArrived(arrival), &mut out);
+        balancer.handle(now_ms, Event::RequestArrived(arrival), &mut actions);
     }
-    let before = resident();
-    let mut times = Vec::with_capacity(CHANGES);
-    for n in 1..=CHANGES {
-        now += 50.0;
-        out.clear();
+    let before = resident_memory_kb();
+    let mut durations_us = Vec::with_capacity(UPDATES);
+    for n in 1..=UPDATES {
+        now_ms += 50.0;
+        actions.clear();
         let (classes, tenants) = ((0..5).map(Some).collect(), (0..20).map(Some).collect());
         let next = SettingsUpdate {
             version: 0,
@@ -64,22 +64,22 @@
             continued_tenants: tenants,
             content_hash: n as u64,
         };
-        let begun = Instant::now();
-        balancer.configure(now, next, &mut out)?;
-        times.push(begun.elapsed().as_secs_f64() * 1e6);
+        let started = Instant::now();
+        balancer.configure(now_ms, next, &mut actions)?;
+        durations_us.push(started.elapsed().as_secs_f64() * 1e6);
     }
     let gauges = balancer.gauges();
-    times.sort_by(f64::total_cmp);
+    durations_us.sort_by(f64::total_cmp);
     println!(
-        "{LISTED} backends, {} requests in work, {} records of classes",
+        "{BACKENDS} backends, {} requests in work, {} records of classes",
         gauges.requests, gauges.classes
     );
     println!(
         "one change, microseconds: median {:.1}, 99 in 100 {:.1}, worst {:.1}",
-        times[CHANGES / 2],
-        times[CHANGES * 99 / 100],
-        times[CHANGES - 1]
+        durations_us[UPDATES / 2],
+        durations_us[UPDATES * 99 / 100],
+        durations_us[UPDATES - 1]
     );
-    println!("resident after {CHANGES} changes: {} kB, before them {before} kB", resident());
+    println!("resident after {UPDATES} changes: {} kB, before them {before} kB", resident_memory_kb());
     Ok(())
 }
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -61,7 +61,7 @@
     /// Finishes its requests; to be sent nothing new.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One backend, as the endpoint list describes it.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -67,7 +67,7 @@
     }
 
     /// Backends that it holds records of: those listed, and those gone that have attempts in flight.
-    pub fn backends_known(&self) -> usize {
+    pub fn known_backend_count(&self) -> usize {
         self.policy.backends.len()
     }
 
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -35,12 +35,13 @@
         }
         self.poll_backoff.reset();
         if kind != EndpointListKind::Delta {
-            self.backends.values_mut().for_each(|backend| backend.endpoint.phase = Phase::Gone);
+            self.backends.values_mut().for_each(|backend| backend.endpoint.phase = Phase::Removed);
         }
         for endpoint in endpoints {
             self.on_endpoint(endpoint);
         }
-        self.backends.retain(|_, backend| !backend.calls.is_empty() || backend.endpoint.phase != Phase::Gone);
+        self.backends
+            .retain(|_, backend| !backend.calls.is_empty() || backend.endpoint.phase != Phase::Removed);
         self.rebuild_ring();
     }
 
--- a/crates/balancer/tests/protocol_rules.rs
+++ b/crates/balancer/tests/protocol_rules.rs
@@ -69,7 +69,7 @@
                 if let Some(known) = p.listed.get(&e.backend) {
                     (e.zone, e.cell) = (known.zone, known.cell);
                 }
-                e.phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(..4)];
+                e.phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Removed][rng.usize(..4)];
                 e.started_at_ms = if rng.bool() { 0.0 } else { p.now - 500.0 * rng.f64() };
                 p.list(EndpointListKind::Delta, vec![e]);
             }
--- a/crates/balancer/tests/support/fleet.rs
+++ b/crates/balancer/tests/support/fleet.rs
@@ -313,7 +313,7 @@
         let event = if delta {
             let old = &self.lists[version - 1];
             let gone = old.iter().filter(|o| endpoints.iter().all(|n| n.backend != o.backend));
-            let gone = gone.map(|o| EndpointInfo { phase: Phase::Gone, ..o.clone() });
+            let gone = gone.map(|o| EndpointInfo { phase: Phase::Removed, ..o.clone() });
             let changed = endpoints.iter().filter(|n| !old.contains(n)).cloned();
             Event::EndpointList { kind: EndpointListKind::Delta, endpoints: changed.chain(gone).collect() }
         } else {
@@ -502,7 +502,7 @@
     pub fn records_beyond_need(&self, instance_index: usize) -> usize {
         let c = &self.instance_count[instance_index];
         let attempts: usize = c.open.values().map(|a| a.sends.len()).sum();
-        let known = c.balancer.as_ref().map_or(0, Balancer::backends_known);
+        let known = c.balancer.as_ref().map_or(0, Balancer::known_backend_count);
         known.saturating_sub(self.lists[c.version].len() + attempts)
     }
 
--- a/crates/balancer/tests/support/harness.rs
+++ b/crates/balancer/tests/support/harness.rs
@@ -107,7 +107,7 @@
 
     pub fn list(&mut self, kind: EndpointListKind, endpoints: Vec<EndpointInfo>) {
         if kind != EndpointListKind::Delta && kind != EndpointListKind::Failed {
-            self.listed.values_mut().for_each(|e| e.phase = Phase::Gone);
+            self.listed.values_mut().for_each(|e| e.phase = Phase::Removed);
         }
         for e in &endpoints {
             self.listed.insert(e.backend, e.clone());
--- a/crates/proxy/src/dispatcher/endpoint_table.rs
+++ b/crates/proxy/src/dispatcher/endpoint_table.rs
@@ -79,7 +79,7 @@
             HealthState::Serving if is_older && is_draining_process => Phase::Draining,
             HealthState::Serving => Phase::Ready,
             HealthState::Draining => Phase::Draining,
-            HealthState::Deleted => Phase::Gone,
+            HealthState::Deleted => Phase::Removed,
         }
     }
 
--- a/crates/scale-test/src/real/simulated_proxies.rs
+++ b/crates/scale-test/src/real/simulated_proxies.rs
@@ -151,9 +151,9 @@
             HealthState::Serving if older && draining == Some(host.started_at_ms) => Phase::Draining,
             HealthState::Serving => Phase::Ready,
             HealthState::Draining => Phase::Draining,
-            HealthState::Deleted => Phase::Gone,
+            HealthState::Deleted => Phase::Removed,
         };
-        if phase == Phase::Gone {
+        if phase == Phase::Removed {
             s.listed.remove(&host.name);
             s.names.remove(&backend);
         } else {
--- a/crates/scale-test/src/simulated/fleet/discovery.rs
+++ b/crates/scale-test/src/simulated/fleet/discovery.rs
@@ -18,7 +18,7 @@
     pub(super) fn publish(&mut self, backend: usize, since: f64) {
         let state = &self.backends[backend];
         let phase = match (state.is_down && state.is_unresponsive, state.is_draining || state.is_down) {
-            (true, _) => Phase::Gone,
+            (true, _) => Phase::Removed,
             (_, true) => Phase::Draining,
             _ => Phase::Ready,
         };
@@ -94,8 +94,8 @@
         let now = self.now;
         for (id, known) in &mut self.instances[instance].endpoints {
             let is_listed = entries.iter().any(|entry| entry.backend == *id);
-            if known.phase != Phase::Gone && !is_listed {
-                known.phase = Phase::Gone;
+            if known.phase != Phase::Removed && !is_listed {
+                known.phase = Phase::Removed;
                 known.since_ms = now;
             }
         }
@@ -110,7 +110,7 @@
     fn listed_endpoints(&self, service: usize) -> Vec<EndpointInfo> {
         let mut entries = Vec::new();
         for (backend, entry) in self.backends.iter().zip(&self.endpoint_log.published) {
-            if backend.service == service && entry.phase != Phase::Gone {
+            if backend.service == service && entry.phase != Phase::Removed {
                 entries.push(entry.clone());
             }
         }
@@ -185,8 +185,8 @@
         published.any(|(backend, entry)| {
             backend.service == proxy.service
                 && match proxy.endpoints.get(&entry.backend) {
-                    Some(known) if known.phase != Phase::Gone => !known.equals(entry),
-                    _ => entry.phase != Phase::Gone,
+                    Some(known) if known.phase != Phase::Removed => !known.equals(entry),
+                    _ => entry.phase != Phase::Removed,
                 }
         })
     }
@@ -206,7 +206,7 @@
                 continue;
             }
             let known = proxy.endpoints.get(&entry.backend);
-            if known.is_none_or(|known| known.phase == Phase::Gone) {
+            if known.is_none_or(|known| known.phase == Phase::Removed) {
                 lost += 1;
             }
         }
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -108,7 +108,7 @@
         let (at, field) = (self.at(), "phase");
         match self.u8(field)? {
             0 => Ok(Phase::Ready),
-            1 => Ok(Phase::Gone),
+            1 => Ok(Phase::Removed),
             2 => Ok(Phase::Draining),
             other => Err(FieldError::Unknown { at, field, value: other.into() }),
         }
