--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -1,23 +1,29 @@
-//! Admission: slices of the concurrency limit by priority weight, their queues, and the tenants' quotas.
+//! Admission: slices of the concurrency limit by priority weight, their queues, and tenant quotas.
 
 use super::Policy;
 use crate::api::{Class, RequestId, UnservedReason};
 use crate::collections::{ByQuota, Quota, levels_with_shares, nearest_level};
 
-const WEIGHT_TOLERANCE: f64 = 1e-9; // weights no further apart share a slice
-const QUEUE_TIME_FRACTION: f64 = 0.125; // of the objective that a request may wait in the first tier ...
-const QUEUE_TIME_FRACTION_INNER_TIER: f64 = 0.5; // ... and in the tiers behind it
+/// Priority weights that differ by less than this share a slice.
+const WEIGHT_TOLERANCE: f64 = 1e-9;
+/// Longest queueing time in the first tier, as a fraction of the latency objective.
+const QUEUE_TIME_FRACTION: f64 = 0.125;
+/// Longest queueing time in the tiers behind the first, as a fraction of the latency objective.
+const QUEUE_TIME_FRACTION_INNER_TIER: f64 = 0.5;
+/// Least burst of a tenant's quota, in requests.
 const MIN_QUOTA_BURST: f64 = 2.0;
 
 impl Policy {
-    /// The design's rule: rejected unsent only past both the total limit and the slice's own.
+    /// Returns whether a slice admits another call. A call is held back only when both the total limit and
+    /// the slice's share of it are reached.
     pub fn admits(&self, slice: usize) -> bool {
         let total = self.limit.total().floor();
         let slice = self.slices.slice(slice);
         self.slices.in_flight() < total || slice.in_flight < (total * slice.share).ceil().max(1.0)
     }
 
-    /// The weight of a class. The objective's weight on the worst-served class is weight that all have alike.
+    /// Returns the weight of a class, within and over the tenant's quota. The objective's weight for the
+    /// worst-served class is added to all classes alike.
     fn weight_of(&self, class: &Class) -> ByQuota<f64> {
         let classes = &self.settings.classes;
         let mean = classes.iter().map(|class| class.priority_weight).sum::<f64>() / classes.len() as f64;
@@ -26,14 +32,15 @@
         ByQuota { within, over: within * self.settings.over_quota_weight }
     }
 
-    /// Cuts the limit into slices by the classes' weights. Calls in flight count, and what is queued waits
-    /// on, in the slice of its weight; where there is none any more, in the nearest.
+    /// Divides the limit into slices by class weight. Calls in flight are counted, and queued requests
+    /// wait, in the slice of their weight, or in the nearest one if that no longer exists.
     pub fn rebuild_slices(&mut self) {
         let has_quotas = self.settings.tier == 0 && !self.settings.tenants.is_empty();
         let weights = self.settings.classes.iter().map(|class| self.weight_of(class));
         let within: Vec<f64> = weights.clone().map(|weight| weight.within).collect();
         let over: Vec<f64> = weights.map(|weight| weight.over).filter(|_| has_quotas).collect();
-        // Requests over their tenant's quota claim nothing but what is left over and the floor of one slot.
+        // Requests over their tenant's quota have no share of their own: they get unused capacity and a
+        // minimum of one slot.
         let levels = levels_with_shares(&within, &over, WEIGHT_TOLERANCE);
         let queued = self.slices.replace(levels.iter().map(|level| level.share));
         let weights = self.classes.values().map(|class| self.weight_of(class));
@@ -58,7 +65,8 @@
         }
     }
 
-    /// How long a request may wait; for all classes alike, or the longer wait would fill the whole queue.
+    /// Returns the longest queueing time in milliseconds. It is the same for all classes: requests of a
+    /// class with a longer one would fill the whole queue.
     pub fn max_queue_time_ms(&self) -> f64 {
         let objectives = self.settings.classes.iter().map(|class| class.latency_objective_ms);
         let is_first_tier = self.settings.tier == 0;
@@ -66,7 +74,7 @@
         fraction * objectives.fold(f64::MAX, f64::min)
     }
 
-    /// Sends queued requests that are admitted, highest priority first.
+    /// Sends the queued requests that are admitted, highest priority first.
     pub fn dispatch_queued(&mut self) {
         for slice in 0..self.slices.len() {
             while self.admits(slice) {
@@ -79,7 +87,7 @@
         }
     }
 
-    /// Goes through all queues: ends what has waited too long, and sends what is admitted.
+    /// Visits all queues: ends requests that have waited too long, and sends those that are admitted.
     pub fn expire_or_dispatch_queued(&mut self) {
         for slice in 0..self.slices.len() {
             for _ in 0..self.slices.slice(slice).queue.len() {
@@ -95,7 +103,8 @@
         }
     }
 
-    /// Charges a request to its tenant in the first tier. Over quota it gets a lower priority, and no worse.
+    /// Charges a request to its tenant's quota, in the first tier only. A request over the quota gets a
+    /// lower priority and no other disadvantage.
     pub fn charge_tenant(&mut self, tenant: usize) -> (Quota, Option<usize>) {
         let settings = self.settings.tenants.get(tenant).filter(|_| self.settings.tier == 0);
         let Some(settings) = settings else { return (Quota::Within, None) };
@@ -105,16 +114,18 @@
         (quota, (quota == Quota::Within).then_some(tenant))
     }
 
-    /// A client that disconnects with time to spare asks again: its tenant, charged twice for what it wants
-    /// once, would lose its own share to impatience. Not so for what was rejected or timed out: a client that
-    /// asks over and over with short limits would never be over its quota.
+    /// Refunds the request of a disconnected client to its tenant and completes it. A client that
+    /// disconnects before its deadline usually retries; if both requests were charged, its tenant would
+    /// lose twice the quota for one answer. Rejected and timed out requests are not refunded: a client that
+    /// retries again and again with a short timeout would never exceed its quota.
     pub fn on_client_disconnected(&mut self, id: RequestId) {
         let tenant = self.requests.get_mut(&id).and_then(|request| request.charged_tenant.take());
         tenant.into_iter().for_each(|tenant| self.tenant_quotas.refund(tenant));
         self.complete(id);
     }
 
-    /// How long a rejected client should stay away; jittered, so that clients do not come back together.
+    /// Returns the `Retry-After` delay for a rejected client in milliseconds, 0 for none. It is jittered,
+    /// so that clients do not return at the same time.
     pub fn retry_after(&mut self, objective_ms: f64) -> f64 {
         let wait = objective_ms * QUEUE_TIME_FRACTION * (1.0 + self.rng.f64());
         let capabilities = &self.settings.capabilities;
--- a/crates/balancer/src/policy/concurrency_limit.rs
+++ b/crates/balancer/src/policy/concurrency_limit.rs
@@ -1,23 +1,36 @@
-//! The learned concurrency limit. It is judged in windows by two views: the latencies of the responses, and
-//! Little's law, in which slow calls count while they are still in flight.
+//! The learned concurrency limit. It is updated once per window from two estimates of the mean latency: the
+//! latencies of the responses, and Little's law, which includes slow calls that are still in flight.
 
 use crate::collections::{ByQuota, Quota, set_slot};
 use crate::stats::{LatencyProfile, LoadWindow, MovingAverage};
 
-const TARGET_OBJECTIVE_FRACTION: f64 = 0.3; // mean latency at which the limit is full: longer queues overload
-const BASELINE_TOLERANCE: f64 = 1.3; // below this multiple of the baseline chance alone would cut the limit
-const MEAN_LATENCY_SAMPLES: f64 = 100.0; // samples that a mean latency covers
-pub const MAX_LATENCY_RATIO: f64 = 6.0; // one response weighs at most this: heavy tails are no queue
-const DROP_TOLERANCE: f64 = 0.05; // share of drops that cuts the limit: fewer are single bad choices
+/// Mean latency at which the limit is full, as a fraction of the latency objective: longer queues overload
+/// the backends.
+const TARGET_OBJECTIVE_FRACTION: f64 = 0.3;
+/// Least target latency as a multiple of the baseline: below it random variation alone would cut the limit.
+const BASELINE_TOLERANCE: f64 = 1.3;
+/// Samples that a mean latency covers.
+const MEAN_LATENCY_SAMPLES: f64 = 100.0;
+/// Largest ratio to the mean or the target with which one response counts: a heavy tail is not a queue.
+pub const MAX_LATENCY_RATIO: f64 = 6.0;
+/// Share of drops above which the limit is cut: smaller shares come from single bad selections.
+const DROP_TOLERANCE: f64 = 0.05;
+/// Least number of outcomes in a window, and of samples in a mean latency, for either to be used.
 const MIN_WINDOW_SAMPLES: f64 = 10.0;
-const MIN_STEP: f64 = 0.7; // the limit moves by no more in a window, which may be chance
+/// Least factor by which one window changes the limit, because its outcomes may be due to chance.
+const MIN_STEP: f64 = 0.7;
+/// Largest factor by which one window changes the limit.
 const MAX_STEP: f64 = 1.5;
-const SATURATION_FRACTION: f64 = 0.8; // share of the limit in flight from which on it may grow
-const LIGHT_LOAD_FRACTION: f64 = 0.5; // share of the limit in flight below which there is no load
-const BASELINE_WEIGHT: f64 = 0.01; // weight with which the baseline follows the mean, under load ...
-const BASELINE_WEIGHT_LIGHT_LOAD: f64 = 0.1; // ... and without
-
-/// What is known of a class's latency.
+/// Share of the limit in flight from which on the limit may grow.
+const SATURATION_FRACTION: f64 = 0.8;
+/// Share of the limit in flight below which the instance counts as unloaded.
+const LIGHT_LOAD_FRACTION: f64 = 0.5;
+/// Weight with which the baseline follows the mean latency under load.
+const BASELINE_WEIGHT: f64 = 0.01;
+/// Weight with which the baseline follows the mean latency without load.
+const BASELINE_WEIGHT_LIGHT_LOAD: f64 = 0.1;
+
+/// Latency statistics and calls in flight of a class.
 #[derive(Default, Clone)]
 pub struct ClassLatency {
     pub objective_ms: f64,
@@ -27,12 +40,12 @@
 }
 
 impl ClassLatency {
-    /// The mean latency, or the objective as long as too few responses have come.
+    /// Returns the mean latency, or the objective until enough responses have been received.
     pub fn expected(&self) -> f64 {
         if self.profile.samples() < MIN_WINDOW_SAMPLES { self.objective_ms } else { self.profile.mean() }
     }
 
-    /// The mean latency at which the limit is full.
+    /// Returns the mean latency at which the limit is full.
     fn target(&self) -> f64 {
         let tolerated = BASELINE_TOLERANCE * self.profile.baseline();
         (TARGET_OBJECTIVE_FRACTION * self.objective_ms).max(tolerated).max(1.0)
@@ -42,9 +55,12 @@
 /// The learned limit of calls in flight, over all classes.
 #[derive(Default)]
 pub struct ConcurrencyLimit {
-    pub classes: Vec<ClassLatency>, // by class slot
-    pub window: LoadWindow,         // what was counted since the limit was last judged
-    pub is_saturated: bool,         // it was reached, or nearly, since then
+    /// By class slot.
+    pub classes: Vec<ClassLatency>,
+    /// Outcomes since the last update of the limit.
+    pub window: LoadWindow,
+    /// Whether the limit was reached, or nearly reached, since the last update.
+    pub is_saturated: bool,
     pub responses_per_warm_backend_ms: f64,
     pub mean_latency: MovingAverage,
     total: f64,
@@ -59,12 +75,12 @@
         self.total = self.total.max(least);
     }
 
-    /// Follows the capacity behind the limit.
+    /// Scales the limit with the capacity of the backends.
     pub fn scale(&mut self, from: f64, to: f64) {
         self.total = (self.total * to / from).max(1.0);
     }
 
-    /// Begins a class, with what was learned of the one that it continues.
+    /// Starts a class with the latencies of the class that it continues.
     pub fn start_class(&mut self, slot: usize, continues: Option<usize>, objective_ms: f64) {
         let learned = continues.map(|old| self.classes[old].clone()).unwrap_or_default();
         let class = ClassLatency { objective_ms, in_flight: ByQuota::default(), ..learned };
@@ -86,7 +102,8 @@
         self.window.record_response((latency / class.target()).min(MAX_LATENCY_RATIO));
     }
 
-    /// Lets time pass, and judges the window once it holds enough outcomes and covers the mean latency.
+    /// Advances the window by `elapsed_ms`, and updates the limit once the window has enough outcomes and
+    /// has lasted as long as the mean latency.
     pub fn advance(&mut self, elapsed_ms: f64, warm_capacity: f64) {
         let load = self.classes.iter().map(|class| class.in_flight.total() / class.target()).sum();
         self.window.advance(elapsed_ms, warm_capacity, load);
@@ -102,9 +119,10 @@
         let load = self.window.latency_by_load();
         let latency = self.window.latency_by_responses();
         self.responses_per_warm_backend_ms = self.window.responses_per_server_ms();
-        // A cut needs both views: unresponsive backends add calls in flight but slow no response, a queue
-        // does both. Growth needs both as well: the first responses are the quick ones. Few responses count
-        // in full: a discount for chance holds at every instance of a large fleet, and none ever cuts.
+        // A cut requires both estimates: unresponsive backends add calls in flight but do not slow down
+        // responses, while a queue does both. Growth also requires both, because the first responses are
+        // the fast ones. A small number of responses counts in full: with a discount for chance at each
+        // instance of a large fleet, none would ever cut its limit.
         let cut = self.drop_cut().min(1.0 / load.min(latency).max(1.0).sqrt());
         if cut < 1.0 {
             self.total = (self.total * cut.max(MIN_STEP)).max(1.0);
@@ -117,9 +135,10 @@
         self.classes.iter_mut().for_each(|class| class.profile.update_baseline(weight));
     }
 
-    /// How far drops alone cut the limit, less what single ones may be by chance.
+    /// Returns the factor by which drops alone cut the limit, after a discount for single drops by chance.
     fn drop_cut(&self) -> f64 {
-        // Time-outs are drops only while responses are slow too: lost ones alone would cut it to nothing.
+        // Timeouts count as drops only while responses are slow as well or absent: lost responses alone
+        // would cut the limit to its minimum.
         let window = &self.window;
         let are_timeouts_drops = window.latency_by_responses() > 1.0 || window.responses == 0.0;
         let drops = if are_timeouts_drops { window.drops + window.timeouts } else { window.drops };
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -1,18 +1,23 @@
-//! The endpoint list: polling for it, the backends that it names, suspension by the operators, draining.
+//! The endpoint list: polling, the listed backends, suspension by the operators, and draining.
 
 use super::state::{Backend, Health};
 use super::{POLL_TIMER, Policy};
-use crate::api::*;
+use crate::api::{Action, BackendId, EndpointInfo, EndpointListKind, NOTIFICATION_DEADLINE_MS, Phase};
 use crate::collections::ByClass;
 use crate::stats::PriorMean;
 
-const MAX_POLL_DELAY_MS: f64 = NOTIFICATION_DEADLINE_MS / 3.0; // the rest is for the polls themselves
-const POLL_RETRY_BASE_FRACTION: f64 = 0.5; // share of the longest delay after the first failure ...
-const MAX_POLL_RETRY_DOUBLINGS: u32 = 1; // ... and all of it from the second on
+/// Longest delay before a poll in milliseconds. The rest of the notification deadline is left for the
+/// polls.
+const MAX_POLL_DELAY_MS: f64 = NOTIFICATION_DEADLINE_MS / 3.0;
+/// Delay after a first failed poll, as a fraction of the longest delay.
+const POLL_RETRY_BASE_FRACTION: f64 = 0.5;
+/// Doublings of the retry delay: from the second failure on it is the longest delay.
+const MAX_POLL_RETRY_DOUBLINGS: u32 = 1;
+/// Largest fraction by which jitter shortens the retry delay.
 const POLL_JITTER_FRACTION: f64 = 0.5;
 
 impl Policy {
-    /// Schedules a poll after a share of the longest delay.
+    /// Schedules a poll after `share` of the longest delay, unless one is scheduled already.
     pub fn schedule_poll(&mut self, share: f64) {
         if !self.is_poll_scheduled {
             self.is_poll_scheduled = true;
@@ -28,7 +33,7 @@
 
     pub fn on_endpoint_list(&mut self, kind: EndpointListKind, endpoints: Vec<EndpointInfo>) {
         if kind == EndpointListKind::Failed {
-            // Jittered, so that instances that failed together do not poll together again.
+            // Jitter keeps instances whose polls failed together from polling together again.
             let share = self.poll_backoff.next(POLL_RETRY_BASE_FRACTION, MAX_POLL_RETRY_DOUBLINGS);
             let jitter = 1.0 - POLL_JITTER_FRACTION * self.rng.f64();
             return self.schedule_poll(share * jitter);
@@ -56,7 +61,8 @@
         self.close_idle_connections(id);
     }
 
-    /// A new process of a backend: nothing known of the old one holds but where it is.
+    /// Resets a backend whose process was replaced: of what was known, only its endpoint and its calls are
+    /// kept.
     fn reset_backend(&mut self, id: BackendId) {
         let old = self.backends.remove(&id).unwrap_or_default();
         let mut backend = Backend {
@@ -72,7 +78,8 @@
         self.backends.insert(id, backend);
     }
 
-    /// A backend that is resumed was restarted, which the list may not show: it counts as started now.
+    /// Suspends or resumes a backend. A resumed backend counts as started now: it was restarted, which the
+    /// endpoint list may not show.
     pub fn on_set_suspended(&mut self, id: BackendId, is_suspended: bool) {
         if is_suspended == self.suspensions.is_suspended(id) {
             return;
@@ -89,14 +96,15 @@
         self.rebuild_ring();
     }
 
-    /// Backends that take requests by the list and are not suspended, in ring order.
+    /// Returns the backends that are listed as ready and not suspended, in ring order.
     pub fn ready_backends(&self) -> impl Iterator<Item = (BackendId, &Backend)> {
         let ready = self.backends.iter().filter(|(_, backend)| backend.endpoint.phase == Phase::Ready);
         let members = ready.filter(|(id, _)| !self.suspensions.is_suspended(**id));
         members.map(|(&id, backend)| (id, backend))
     }
 
-    /// Closes idle connections to a draining backend: at the notice, and after each outcome there.
+    /// Closes the idle connections to a backend that is draining or removed: when the list says so, and
+    /// after each outcome at that backend.
     pub fn close_idle_connections(&mut self, id: BackendId) {
         let is_leaving = self.backends.get(&id).is_some_and(|b| b.endpoint.phase != Phase::Ready);
         if is_leaving && self.settings.guarantees.idle_release_ms > 0.0 {
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -1,5 +1,6 @@
-//! Every decision of a balancer instance: one learned concurrency limit, cut into slices by priority weight,
-//! over a load-sized subset of the tier. The interface is in [`crate::api`].
+//! The load balancing policy of one balancer instance: a learned concurrency limit, divided into slices by
+//! priority weight, and a subset of the tier's backends whose size follows the load. All decisions are made
+//! in this module; its interface is [`crate::api`].
 
 mod admission;
 mod concurrency_limit;
@@ -15,56 +16,79 @@
 #[cfg(test)]
 mod tests;
 
-use crate::api::*;
+use crate::api::{
+    Action, BackendId, Class, DiscoveryMode, Event, RequestId, Settings, SettingsUpdate, TimerToken,
+};
 use crate::collections::{ByQuota, KeyedQueues, RingSubset, Slices, SlotTable, Suspensions, TenantQuotas};
 use crate::stats::{Backoff, DecayingPeak, MovingAverage, PiController, TokenBucket};
 use concurrency_limit::ConcurrencyLimit;
 use state::{Backend, Request};
 use std::collections::{BTreeMap, HashMap};
 
+/// Timer of the periodic run.
 const PERIODIC_TIMER: TimerToken = TimerToken(0);
+/// Timer of the next poll of the endpoint list.
 const POLL_TIMER: TimerToken = TimerToken(1);
-const PERIOD_TICKS: f64 = 10.0; // often enough for queues, rare enough to be cheap
-const PEAK_IN_FLIGHT_DECAY_MS: f64 = 5000.0; // for so long a peak of calls in flight keeps the subset wide
+/// Ticks between two periodic runs: few enough to handle queues in time, many enough to keep the cost low.
+const PERIOD_TICKS: f64 = 10.0;
+/// Decay time, in milliseconds, of the peak of calls in flight, which keeps the subset wide.
+const PEAK_IN_FLIGHT_DECAY_MS: f64 = 5000.0;
 
-/// The state of a balancer instance, which only its own files change. Times are in milliseconds.
+/// The state of one balancer instance, which only this module modifies. All times are in milliseconds.
 #[derive(Default)]
 pub struct Policy {
     pub settings: Settings,
-    pub actions: Vec<Action>, // decided on the event in hand
+    /// Actions decided on for the current event.
+    pub actions: Vec<Action>,
     pub backends: BTreeMap<BackendId, Backend>,
-    pub requests: HashMap<RequestId, Request>, // looked up, never iterated: its order decides nothing
+    /// Looked up by id and never iterated, so that the map's order can't affect a decision.
+    pub requests: HashMap<RequestId, Request>,
     pub classes: SlotTable<Class>,
-    pub slices: Slices<RequestId>, // of the limit, highest priority weight first
+    /// Slices of the concurrency limit, highest priority weight first.
+    pub slices: Slices<RequestId>,
     pub limit: ConcurrencyLimit,
-    now_ms: f64, // of the event in hand
+    /// Clock time of the current event.
+    now_ms: f64,
     rng: fastrand::Rng,
     is_draining: bool,
-    process_count: f64, // that act as this instance
+    /// Number of processes that act as this instance.
+    process_count: f64,
     last_periodic_run_at_ms: f64,
     is_poll_scheduled: bool,
     poll_backoff: Backoff,
-    suspensions: Suspensions<BackendId>, // by the operators
-    subset: RingSubset<BackendId>,       // of the backends that take requests
+    /// Backends that the operators suspended.
+    suspensions: Suspensions<BackendId>,
+    /// The ready backends, and the subset of them that is in use.
+    subset: RingSubset<BackendId>,
     subset_size: f64,
-    mean_weight: f64,                     // of the ring's backends
-    warm_capacity: f64,                   // in the ring, each counted by its warm-up fraction
-    spillover: PiController,              // share of calls that leaves the zone
-    local_excess_latency: MovingAverage,  // latency over the baseline, in objectives, in this zone ...
-    remote_excess_latency: MovingAverage, // ... and outside of it
+    /// Mean weight of the backends in the ring.
+    mean_weight: f64,
+    /// Sum of the warm-up fractions of the backends in the ring that are not ejected.
+    warm_capacity: f64,
+    /// Controls the share of calls that is sent to other zones.
+    spillover: PiController,
+    /// Latency above the baseline within this zone, in latency objectives.
+    local_excess_latency: MovingAverage,
+    /// Latency above the baseline in other zones, in latency objectives.
+    remote_excess_latency: MovingAverage,
     key_queues: KeyedQueues<RequestId>,
-    slices_of_class: Vec<ByQuota<usize>>, // by class slot
+    /// By class slot.
+    slices_of_class: Vec<ByQuota<usize>>,
     tenant_quotas: TenantQuotas,
     retry_budget: TokenBucket,
     peak_in_flight: DecayingPeak,
-    error_rate: MovingAverage,        // over all backends
-    last_response_at_ms: f64,         // of any backend
-    response_rate: MovingAverage,     // of a warm backend, a millisecond ...
-    peak_response_rate: DecayingPeak, // ... and the most of it
+    /// Error rate over all backends.
+    error_rate: MovingAverage,
+    /// Time of the last response of any backend.
+    last_response_at_ms: f64,
+    /// Average responses per millisecond of a warm backend.
+    response_rate: MovingAverage,
+    /// Decaying peak of `response_rate`.
+    peak_response_rate: DecayingPeak,
 }
 
 impl Policy {
-    /// An instance that knows nothing yet, with settings that were validated.
+    /// Creates an instance that has learned nothing yet, from validated settings.
     pub fn new(initial: SettingsUpdate, seed: u64) -> Self {
         let rng = fastrand::Rng::with_seed(seed);
         let retry_budget = TokenBucket::with_tokens(retry::MIN_RETRY_BURST);
@@ -73,7 +97,7 @@
         policy
     }
 
-    /// Decides on one event at clock time `now`.
+    /// Handles one event at clock time `now_ms`.
     pub fn on_event(&mut self, now_ms: f64, event: Event) {
         self.now_ms = now_ms;
         match event {
@@ -95,19 +119,20 @@
         self.dispatch_queued();
     }
 
-    /// Begins at clock time `now`, right before the first event.
+    /// Starts the timers at clock time `now_ms`, right before the first event.
     pub fn start(&mut self, now_ms: f64) {
         self.last_periodic_run_at_ms = now_ms;
         self.last_response_at_ms = now_ms;
         self.actions.push(Action::SetTimer { delay_ms: self.period_ms(), token: PERIODIC_TIMER });
         if self.settings.discovery_mode == DiscoveryMode::Poll {
-            // Instances start together: the first poll is spread so that discovery is not overrun.
+            // Instances may start at the same time: a random delay spreads their first polls, so that
+            // discovery is not overloaded.
             let share = self.rng.f64();
             self.schedule_poll(share);
         }
     }
 
-    /// Time between two periodic runs.
+    /// Returns the time between two periodic runs.
     fn period_ms(&self) -> f64 {
         (self.settings.tick_ms * PERIOD_TICKS).max(1.0)
     }
--- a/crates/balancer/src/policy/outlier_detection.rs
+++ b/crates/balancer/src/policy/outlier_detection.rs
@@ -1,41 +1,67 @@
-//! Outlier detection: the ejection of backends that fail, are slow or unresponsive while others are not.
+//! Outlier detection: ejects backends that fail, are slow or unresponsive while others are not.
 
 use super::Policy;
 use super::concurrency_limit::{ClassLatency, MAX_LATENCY_RATIO};
 use super::state::{Backend, Call, Health};
-use crate::api::*;
+use crate::api::{AttemptResult, BackendId, Idempotency, Outcome};
 use crate::stats::PriorMean;
 
-const EJECTION_BASE_MS: f64 = 2000.0; // doubles with each probe that fails ...
-const MAX_EJECTION_DOUBLINGS: u32 = 3; // ... up to so many times
-const NON_IDEMPOTENT_EJECTION_BASE_MS: f64 = 8000.0; // its probe costs a request; a wrong ejection ends with an answer
+/// First ejection time in milliseconds; it doubles with each failed probe request.
+const EJECTION_BASE_MS: f64 = 2000.0;
+/// Most doublings of the ejection time.
+const MAX_EJECTION_DOUBLINGS: u32 = 3;
+/// First ejection time for a non-idempotent class in milliseconds: a failed probe costs a client's request
+/// there, and a wrong ejection ends with the next response.
+const NON_IDEMPOTENT_EJECTION_BASE_MS: f64 = 8000.0;
+/// Most doublings of the ejection time for a non-idempotent class.
 const MAX_NON_IDEMPOTENT_EJECTION_DOUBLINGS: u32 = 1;
-const MAX_EJECTED_FRACTION: f64 = 0.5; // of the ring: beyond it the fault is shared, and no backend's own
-const ERROR_WEIGHT: f64 = 0.125; // of one outcome in a backend's error rate
+/// Largest ejected fraction of the ring: if more backends fail, the fault is shared and not their own.
+const MAX_EJECTED_FRACTION: f64 = 0.5;
+/// Weight of one outcome in a backend's error rate.
+const ERROR_WEIGHT: f64 = 0.125;
+/// Weight of a failed connection attempt in a backend's error rate.
 const CONNECT_FAILURE_WEIGHT: f64 = 0.375;
-const PROBE_SUCCESS_WEIGHT: f64 = 0.5; // of a probe that is served
+/// Weight of a served probe request in a backend's error rate.
+const PROBE_SUCCESS_WEIGHT: f64 = 0.5;
+/// Weight of one outcome in the error rate over all backends.
 const OVERALL_ERROR_WEIGHT: f64 = 0.02;
+/// Error rate below which a backend is healthy.
 const HEALTHY_ERROR_RATE: f64 = 0.125;
+/// Error rate below which a fast response ends an ejection.
 const RECOVERED_ERROR_RATE: f64 = 0.15;
+/// Error rate up to which a backend is not ejected.
 const EJECTION_ERROR_RATE: f64 = 0.35;
-const MIN_ERROR_RATE_RATIO: f64 = 3.0; // times the others' error rate, else the fault is shared
-const EJECTION_RELATIVE_LATENCY: f64 = 2.5; // mean latency over all backends' at which one has to recover
+/// Multiple of the overall error rate up to which a fault is shared, and a backend is not ejected for it.
+const MIN_ERROR_RATE_RATIO: f64 = 3.0;
+/// Mean latency relative to all backends above which a backend is ejected, so that it can recover.
+const EJECTION_RELATIVE_LATENCY: f64 = 2.5;
+/// Number of latency samples up to which a backend is not ejected as slow.
 const MIN_LATENCY_SAMPLES: f64 = 8.0;
+/// Samples that a backend's relative latency covers.
 const MAX_LATENCY_SAMPLES: f64 = 16.0;
-const PRIOR_LATENCY_SAMPLES: f64 = 4.0; // a new backend counts as average for so many responses
+/// Number of samples as which the assumption counts that a new backend is average.
+const PRIOR_LATENCY_SAMPLES: f64 = 4.0;
+/// Weight of one response in the mean latency over all backends.
 const OVERALL_LATENCY_WEIGHT: f64 = 0.02;
+/// Weight of one response in a zone's excess latency.
 const EXCESS_LATENCY_WEIGHT: f64 = 0.1;
-const MIN_MISSED_RESPONSES: f64 = 8.0; // by Little's law, before silence is unresponsiveness and not a pause
+/// Missed responses, estimated by Little's law, above which a backend is unresponsive and not just pausing.
+const MIN_MISSED_RESPONSES: f64 = 8.0;
+/// Mean latencies without a response above which a backend may be unresponsive.
 const MIN_SILENCE_LATENCIES: f64 = 2.0;
-const MAX_SILENCE_RATIO_OF_OTHERS: f64 = 0.25; // of a backend's silence, else all are silent
-const MAX_SLOT_HOLD_LATENCIES: f64 = 4.0; // that a call may hold a slot: of an exponential 2 in 100 take longer
+/// Time since the last response of any backend, as a fraction of one backend's silence, from which on all
+/// backends count as silent.
+const MAX_SILENCE_RATIO_OF_OTHERS: f64 = 0.25;
+/// Mean latencies for which a call may hold a slot of the limit. With exponentially distributed latencies,
+/// 2 in 100 calls take longer.
+const MAX_SLOT_HOLD_LATENCIES: f64 = 4.0;
 
 impl Policy {
-    /// Records what the outcome of a call says of its backend and of the limit.
+    /// Records the outcome of a call for its backend and for the concurrency limit.
     pub fn record_outcome(&mut self, result: &AttemptResult, call: Call) {
         let (id, class) = (result.backend, call.class);
         let Some(backend) = self.backends.get(&id) else { return };
-        // A backend that warms up takes longer for the same work, which is no queue and no fault of its own.
+        // A backend that is warming up takes longer for the same work, without a queue or a fault.
         let latency = result.latency_ms * self.warm_up_fraction(backend);
         let Some(backend) = self.backends.get_mut(&id) else { return };
         backend.calls.retain(|other| *other != call);
@@ -47,8 +73,8 @@
         }
         match result.outcome {
             Outcome::Ok => self.record_served(id, call, latency),
-            // A call that its client abandoned would have taken longer still. It speaks of its backend and
-            // zone, not of the limit, which unresponsive backends would cut.
+            // A call that its client abandoned would have taken even longer. It counts for its backend and
+            // zone but not for the limit, which unresponsive backends would cut.
             Outcome::Cancelled if latency > self.limit.classes[class].profile.mean() => {
                 self.record_latency(id, class, latency);
                 self.eject_if_slow(id);
@@ -77,7 +103,7 @@
         }
     }
 
-    /// Records a latency at its zone and its backend; returns its ratio to the mean of its class.
+    /// Records a latency for its zone and backend; returns its ratio to the mean of its class.
     fn record_latency(&mut self, id: BackendId, class: usize, latency: f64) -> f64 {
         self.limit.mean_latency.init_or_update(latency, OVERALL_LATENCY_WEIGHT);
         let class = &self.limit.classes[class];
@@ -92,7 +118,7 @@
         ratio
     }
 
-    /// A backend that is overloaded recovers only when it is left alone.
+    /// Ejects a backend that is slow: an overloaded backend recovers only without load.
     fn eject_if_slow(&mut self, id: BackendId) {
         let Some(backend) = self.backends.get(&id) else { return };
         let is_slow = backend.relative_latency.value() > EJECTION_RELATIVE_LATENCY;
@@ -107,13 +133,14 @@
         if outcome == Outcome::Error {
             self.limit.window.responses += 1.0;
         }
-        // Calls sent before an ejection tell nothing new: counted as failed probes, those of one
-        // overload would keep the backend ejected for many times as long as that lasts.
+        // Calls sent before the ejection are ignored: counted as failed probes, the calls of one overload
+        // would keep the backend ejected for many times as long as the overload lasts.
         if backend.health[None].ejection.began_after(call.sent_at_ms) {
             return;
         }
         let is_unreachable = outcome == Outcome::ConnectFailed;
-        // A backend that is down says nothing of the load: only one that is otherwise healthy does.
+        // Only a failed connection attempt to an otherwise healthy backend is a sign of load; a backend
+        // that is down is not.
         if is_unreachable && backend.error_rate.value() < HEALTHY_ERROR_RATE {
             self.limit.window.drops += 1.0;
         }
@@ -129,7 +156,8 @@
         }
     }
 
-    /// Ejects a backend, altogether or for a class, unless so many are ejected that the fault must be shared.
+    /// Ejects a backend, for all classes (`None`) or for one, unless so many are ejected that the fault
+    /// must be shared.
     fn eject(&mut self, id: BackendId, class: Option<usize>) {
         let is_ejected = |backend: &Backend| backend.health[class].ejection.is_active();
         let ring = self.subset.ring();
@@ -151,10 +179,12 @@
             ejection.extend(self.now_ms, EJECTION_BASE_MS, MAX_EJECTION_DOUBLINGS);
         }
         if class.is_none() {
-            self.release_slots(id, 0.0); // an ejected backend holds no slots of the limit
+            // An ejected backend holds no slots of the limit.
+            self.release_slots(id, 0.0);
         }
     }
 
+    /// Releases the slots of calls that have been in flight for too long.
     pub fn release_overdue_slots(&mut self) {
         let busy = self.backends.iter().filter(|(_, backend)| !backend.calls.is_empty());
         for id in busy.map(|(&id, _)| id).collect::<Vec<_>>() {
@@ -162,7 +192,8 @@
         }
     }
 
-    /// Calls that have been in flight for so many means of their class no longer count against the limit.
+    /// Releases the slots of a backend's calls that have been in flight for `latencies` times the expected
+    /// latency of their class: they no longer count against the limit.
     fn release_slots(&mut self, id: BackendId, latencies: f64) {
         for call in self.backends[&id].calls.clone() {
             let Some(request) = self.requests.get_mut(&call.request) else { continue };
@@ -179,7 +210,8 @@
         }
     }
 
-    /// Those whose calls, or those of a class, get no response for far too long, while others do.
+    /// Returns the backends of `busy` that have not responded for far too long, to any call (`None`) or to
+    /// calls of one class, while others have responded.
     fn unresponsive_backends(&self, busy: &[BackendId], class: Option<usize>) -> Vec<BackendId> {
         let of_class = class.map(|class| &self.limit.classes[class]);
         let expected_latency = of_class.map_or(self.limit.mean_latency.value(), ClassLatency::expected);
@@ -201,9 +233,10 @@
         busy.iter().copied().filter(is_unresponsive).collect()
     }
 
-    /// Ejects the backends that are unresponsive while others respond: altogether, or for a class.
+    /// Ejects the backends that are unresponsive while others respond, for all classes or for one.
     pub fn eject_unresponsive(&mut self) {
-        // Who has no calls in flight owes no response: the cost follows from the calls, not from the list.
+        // A backend without calls in flight owes no response. The cost depends on the calls, not on the
+        // length of the endpoint list.
         let busy = self.ready_backends().filter(|(_, backend)| !backend.calls.is_empty());
         let busy: Vec<BackendId> = busy.map(|(id, _)| id).collect();
         for class in std::iter::once(None).chain((0..self.classes.len()).map(Some)) {
@@ -215,7 +248,8 @@
 }
 
 impl Backend {
-    /// Ends an ejection if a served attempt shows that its reason is gone; tells whether it did.
+    /// Ends the ejection if a served attempt shows that its cause no longer exists; returns whether it was
+    /// ended.
     fn end_ejection_if_recovered(&mut self, sent_at_ms: f64, ratio: f64) -> bool {
         let (ejection, error_rate) = (self.health[None].ejection, self.error_rate.value());
         if !ejection.is_active() {
@@ -225,7 +259,8 @@
         let oldest = self.calls.front().map_or(f64::MAX, |call| call.sent_at_ms);
         let has_caught_up = ejection.began_after(sent_at_ms) && !ejection.began_after(oldest);
         if error_rate < HEALTHY_ERROR_RATE && !is_slow && has_caught_up {
-            self.health[None].ejection.end(); // it was unresponsive, and no more
+            // It was ejected as unresponsive and responds again.
+            self.health[None].ejection.end();
         } else if error_rate < RECOVERED_ERROR_RATE && ratio < EJECTION_RELATIVE_LATENCY / 2.0 {
             self.health[None].ejection.end();
             self.relative_latency = PriorMean::new(ratio);
--- a/crates/balancer/src/policy/reconfigure.rs
+++ b/crates/balancer/src/policy/reconfigure.rs
@@ -1,10 +1,11 @@
-//! One step from the settings in force to others.
+//! Replaces the settings in force in one step.
 
 use super::Policy;
 use super::state::Health;
 use crate::api::{Class, SettingsUpdate};
 
 impl Policy {
+    /// Replaces the settings in force and adapts what depends on them.
     pub fn replace_settings(&mut self, now_ms: f64, update: SettingsUpdate) {
         self.now_ms = now_ms;
         let had_idle_release_limit = self.settings.guarantees.idle_release_ms > 0.0;
@@ -18,7 +19,7 @@
         self.dispatch_queued();
     }
 
-    /// The step itself. Nothing here fails, so that it is done completely.
+    /// Applies the settings of an update. No step can fail, so that an update is applied completely.
     pub fn apply_settings(&mut self, update: SettingsUpdate) {
         self.replace_classes(&update.settings.classes, &update.continued_classes);
         self.replace_tenants(&update.continued_tenants);
@@ -26,7 +27,7 @@
         self.rebuild_slices();
     }
 
-    /// Gives each class a slot, and what was learned of the class that it continues.
+    /// Gives each class a slot, with what was learned about the class that it continues.
     fn replace_classes(&mut self, classes: &[Class], continued: &[Option<u16>]) {
         for assigned in self.classes.replace(classes, continued) {
             let objective_ms = self.classes[assigned.slot].latency_objective_ms;
@@ -42,7 +43,7 @@
         self.backends.values_mut().for_each(|backend| backend.health.truncate(used));
     }
 
-    /// What was charged to a tenant that is gone is refunded to nobody.
+    /// Replaces the tenants. Requests that were charged to a removed tenant are no longer refunded.
     fn replace_tenants(&mut self, continued: &[Option<u16>]) {
         self.tenant_quotas.replace(continued);
         let new_index = |old: usize| continued.iter().position(|index| index.map(usize::from) == Some(old));
--- a/crates/balancer/src/policy/request_lifecycle.rs
+++ b/crates/balancer/src/policy/request_lifecycle.rs
@@ -1,8 +1,11 @@
-//! The way of a request: arrival, attempts, outcomes, and its one final answer.
+//! The lifecycle of a request: arrival, attempts, outcomes, and exactly one final answer.
 
 use super::Policy;
 use super::state::{Attempt, Call, Request};
-use crate::api::*;
+use crate::api::{
+    Action, AttemptNumber, AttemptResult, DeduplicationScope, Idempotency, Outcome, RequestArrival,
+    RequestId, UnservedReason,
+};
 
 impl Policy {
     pub fn on_request(&mut self, arrival: &RequestArrival) {
@@ -14,11 +17,13 @@
         self.add_retry_tokens();
         let mut request = self.create_request(class, arrival);
         let slice = self.slices_of_class[class][request.quota];
-        // Behind another request of its key it waits in that key's queue and holds no slot.
+        // A request behind another one of its ordering key waits in the queue of that key and holds no
+        // slot.
         let waits_for_key = request.key != 0 && self.key_queues.push(request.key, id);
         let is_queue_empty = self.slices.slice(slice).queue.is_empty();
         let has_slot = !waits_for_key && is_queue_empty && self.admits(slice);
-        // With a slot but no backend, or behind its key, it waits while an answer can still be in time.
+        // With a slot but no backend, or behind its ordering key, a request waits as long as its latency
+        // objective can still be met.
         let may_wait_until_objective = has_slot || waits_for_key;
         let time_to_spare_ms = self.classes[class].latency_objective_ms - self.limit.mean_latency.value();
         let wait = if may_wait_until_objective { time_to_spare_ms } else { self.max_queue_time_ms() };
@@ -26,12 +31,13 @@
         request.queue_deadline_ms = (self.now_ms + wait).min(last_start_ms);
         self.requests.insert(id, request);
         self.classes.acquire(class);
-        // What comes too late for any answer, as at the end of a planned stop, only costs a backend work.
+        // A request past its deadline, as at the end of a planned stop, would only cost a backend work.
         if has_slot && self.now_ms < arrival.deadline_ms && self.send(id) {
             return;
         }
         self.limit.is_saturated |= !may_wait_until_objective;
-        // A client's last attempt may have less time left than the periodic run takes to come: never queued.
+        // A client's last retry may have less time left than the next periodic run takes to come: it is
+        // never queued.
         let is_queue_full = self.slices.queued() as f64 >= self.limit.total();
         if last_start_ms <= self.now_ms {
             self.reject_or_fail(id, UnservedReason::DeadlineTooClose);
@@ -42,7 +48,7 @@
         }
     }
 
-    /// The record of a request, charged to its tenant.
+    /// Creates the record of a request and charges the request to its tenant.
     fn create_request(&mut self, class: usize, arrival: &RequestArrival) -> Request {
         let (quota, charged_tenant) = self.charge_tenant(usize::from(arrival.tenant));
         Request {
@@ -57,12 +63,13 @@
         }
     }
 
-    /// Sends the next attempt if a backend can take it.
+    /// Sends the next attempt if a backend can take it; returns whether it was sent.
     pub fn send(&mut self, id: RequestId) -> bool {
         let Some(selected) = self.select_backend(id) else { return false };
         let Some(request) = self.requests.get_mut(&id) else { return false };
         let Some(backend) = self.backends.get_mut(&selected) else { return false };
-        backend.slow_start_budget.take(); // means nothing once it is warm
+        // The budget has no effect once the backend is warm.
+        backend.slow_start_budget.take();
         let endpoint = backend.endpoint.clone();
         let attempt = Attempt { endpoint, sent_at_ms: self.now_ms, is_in_flight: true, ..Attempt::default() };
         request.attempts.push(attempt);
@@ -77,14 +84,14 @@
         true
     }
 
-    /// The backend begins a request's last attempt: it counts as in flight, and its response is awaited.
+    /// Starts the call of a request's last attempt: it counts as in flight, and a response is due.
     fn begin_call(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let (class, quota) = (request.class, request.quota);
         let attempt = request.attempts.last_mut().filter(|attempt| attempt.is_in_flight);
         let Some(attempt) = attempt else { return };
         let Some(backend) = self.backends.get_mut(&attempt.endpoint.backend) else { return };
-        // Who had no calls in flight owed no response: its silence begins now.
+        // A backend without calls in flight owed no response: its silence begins now.
         if backend.calls.is_empty() {
             backend.health[None].last_response_at_ms = self.now_ms;
         }
@@ -101,7 +108,8 @@
         }
     }
 
-    /// Until its last byte has come, a request takes none of a backend's work, however slowly it is written.
+    /// Starts the call of a request whose body is complete. Until then the request causes no work at a
+    /// backend, however slowly its body is sent.
     pub fn on_body_received(&mut self, id: RequestId, deadline_ms: f64) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.deadline_ms = deadline_ms;
@@ -123,7 +131,8 @@
         request.is_body_consumed |= result.is_body_consumed;
         let is_finished = result.is_request_closed || request.has_ended;
         let has_other_attempt = request.has_attempt_in_flight();
-        // After these it may still be running: the next one of its key waits until that is settled.
+        // After these outcomes the attempt may still be running: its key is quarantined before the next
+        // request is sent.
         if matches!(result.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
             let until = self.now_ms + self.settings.guarantees.key_quarantine_ms;
             self.key_queues.quarantine(request.key, until);
@@ -140,8 +149,8 @@
         }
     }
 
-    /// Queues a request that never ran again, while there is time and an attempt left: one past the limit
-    /// of attempts would come back unsent for ever.
+    /// Queues a request that never ran again while it has time and an attempt left, and ends it otherwise.
+    /// A request past the attempt limit would be queued again for ever without being sent.
     fn requeue_or_end(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let never_ran = request.possibly_executed_attempt().is_none();
@@ -152,7 +161,7 @@
         }
     }
 
-    /// Gives the final answer: rejected where a retry by the client is harmless, failed otherwise.
+    /// Gives the final answer: a rejection if a retry by the client is harmless, a failure otherwise.
     pub fn reject_or_fail(&mut self, id: RequestId, reason: UnservedReason) {
         let Some(request) = self.requests.get(&id) else { return };
         let reason = if self.subset.ring().is_empty() { UnservedReason::NoReadyBackend } else { reason };
@@ -172,7 +181,8 @@
         self.complete(id);
     }
 
-    /// Nothing is pending and nothing more is sent; attempts in flight are cancelled where that is allowed.
+    /// Ends a request: nothing is pending and nothing more is sent. Attempts in flight are cancelled if
+    /// that is allowed, and the record is removed once there are none.
     pub fn complete(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let had_ended = std::mem::replace(&mut request.has_ended, true);
@@ -189,13 +199,14 @@
         }
     }
 
-    /// Queues the next request of an ordering key, like any other.
+    /// Queues the next request of an ordering key like any other request.
     fn dispatch_key(&mut self, key: u64) {
         let next = self.key_queues.dispatch(key, self.now_ms);
         next.into_iter().for_each(|id| self.enqueue(id));
     }
 
-    /// Ends the requests that have waited too long for their key, and lets keys out of quarantine.
+    /// Ends the requests that have waited too long for their key, and dispatches keys whose quarantine is
+    /// over.
     pub fn run_key_queues(&mut self) {
         let is_overdue =
             |id: &RequestId| self.requests.get(id).is_some_and(|r| self.now_ms >= r.queue_deadline_ms);
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -1,20 +1,23 @@
-//! Retries: within the class's idempotency, the deadline, the limit of attempts and a budget.
+//! Retries: limited by the idempotency of the class, the deadline, the attempt limit and a retry budget.
 
 use super::Policy;
 use super::state::Request;
 use crate::api::{Idempotency, RequestId};
 
-const RETRIES_PER_REQUEST: f64 = 0.1; // of what may have run: more would be a storm
+/// Budget for retries of requests that may have run, per request: more would allow a retry storm.
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Least burst of the retry budget, in retries.
 pub const MIN_RETRY_BURST: f64 = 10.0;
 
 impl Policy {
-    /// A request earns its share of retries; their burst grows with the concurrency limit.
+    /// Adds the share of one request to the retry budget, whose burst grows with the concurrency limit.
     pub fn add_retry_tokens(&mut self) {
         let burst = MIN_RETRY_BURST.max(self.limit.total() * RETRIES_PER_REQUEST);
         self.retry_budget.add_tokens(RETRIES_PER_REQUEST, burst);
     }
 
-    /// Sends another attempt if that is allowed and a backend can take it; free if the request never ran.
+    /// Sends another attempt if that is allowed and a backend can take it; returns whether it was sent. A
+    /// retry of a request that never ran costs no budget.
     pub fn retry(&mut self, id: RequestId) -> bool {
         let Some(request) = self.requests.get(&id) else { return false };
         let is_free = request.possibly_executed_attempt().is_none();
@@ -27,12 +30,13 @@
         is_sent
     }
 
-    /// Whether another attempt is within the limits, both as the request was admitted and as they are now.
+    /// Returns whether another attempt is within the limits, both as of the admission and as in force now.
     pub fn has_attempt_left(&self, request: &Request) -> bool {
         let max_attempts = request.max_attempts.min(self.settings.capabilities.max_attempts);
         request.attempts.len() < max_attempts as usize && !request.is_body_consumed
     }
 
+    /// Returns whether the idempotency of the class allows another attempt to run.
     fn may_run_again(&self, request: &Request) -> bool {
         let Some(first) = request.possibly_executed_attempt() else { return true };
         let last_safe_send_ms = |window_ms: f64| first.sent_at_ms + window_ms - self.settings.tick_ms;
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -1,18 +1,22 @@
-//! Selection: the cheaper one of two random members of the subset.
+//! Selection: the cheaper of two random members of the subset.
 
 use super::Policy;
 use super::state::{Backend, Request};
-use crate::api::*;
+use crate::api::{BackendId, DeduplicationScope, Idempotency, Phase, RequestId};
 use crate::collections::random_pair;
 
-const ERROR_RATE_COST: f64 = 8.0; // a failed call costs more than a slow one
-const CROSS_ZONE_COST_CALLS: f64 = 0.5; // calls that a crossing counts for, where it has a price
+/// Weight of the error rate in the cost of a backend: a failed call costs more than a slow one.
+const ERROR_RATE_COST: f64 = 8.0;
+/// Cost of crossing zones, in calls in flight, if crossing has a price.
+const CROSS_ZONE_COST_CALLS: f64 = 0.5;
+/// Least weight of a backend in its cost.
 const MIN_WEIGHT: f64 = 0.01;
+/// Most random draws to find two eligible backends.
 const MAX_DRAWS: usize = 12;
 
 impl Policy {
-    /// Two random members of the subset that are eligible; the cheaper one. Past the subset only if none is,
-    /// and to ejected backends only if nothing else is left.
+    /// Selects the cheaper of two random eligible members of the subset. Backends outside of the subset are
+    /// used only if no member is eligible, and ejected backends only if no other is left.
     pub fn select_backend(&mut self, id: RequestId) -> Option<BackendId> {
         let request = self.requests.get(&id)?;
         let mut rng = self.rng.clone();
@@ -43,18 +47,20 @@
     }
 
     fn is_not_ejected_or_probe_due(&self, request: &Request, backend: &Backend) -> bool {
-        // An ejected backend gets one probe, a request that can be retried, once its time is up.
+        // An ejected backend gets one probe request, which must be retryable, once its ejection time is
+        // over.
         let is_idempotent = self.classes[request.class].idempotency != Idempotency::NonIdempotent;
         let ejection = backend.health[None].ejection;
         let may_probe = is_idempotent && ejection.is_due(self.now_ms) && backend.calls.is_empty();
-        // A class that is ejected there gets a probe too, idempotent or not: no other class can tell.
+        // A class that is ejected at the backend gets a probe request as well, idempotent or not: requests
+        // of other classes show nothing about it.
         let class_ejection = backend.health[Some(request.class)].ejection;
         let has_calls = backend.calls.iter().any(|call| call.class == request.class);
         let may_probe_class = class_ejection.is_due(self.now_ms) && !has_calls;
         (!ejection.is_active() || may_probe) && (!class_ejection.is_active() || may_probe_class)
     }
 
-    /// Whether a backend drops the repeats of a deduplicated request that may have run.
+    /// Returns whether a backend drops the duplicates of a deduplicated request that may have run.
     fn drops_duplicates(&self, request: &Request, backend: &Backend) -> bool {
         let Some(first) = request.possibly_executed_attempt() else { return true };
         let endpoint = &backend.endpoint;
@@ -69,14 +75,15 @@
         }
     }
 
-    /// Expected wait at a backend beside the others': own calls, latency, errors and the warm-up.
+    /// Returns the expected wait at a backend relative to others, from its calls of this instance, latency,
+    /// error rate and warm-up.
     fn cost(&self, id: BackendId) -> f64 {
         let backend = &self.backends[&id];
         let latency = backend.relative_latency.value() * (1.0 + ERROR_RATE_COST * backend.error_rate.value());
         let has_price = self.settings.objective.cross_zone_price > 0.0;
         let is_crossing = has_price && backend.endpoint.zone != self.settings.zone;
         let crossing = if is_crossing { CROSS_ZONE_COST_CALLS } else { 0.0 };
-        // A backend that is warming up and idle costs no more than others: its budget limits its calls.
+        // An idle backend that is warming up costs no more than others: its budget limits its calls.
         let calls = backend.calls.len() as f64 / self.warm_up_fraction(backend);
         let weight = backend.endpoint.weight.max(MIN_WEIGHT);
         (calls * self.mean_weight / weight + 1.0 + crossing) * latency
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -1,18 +1,23 @@
-//! Slow start: a backend that is warming up gets no more requests than it surely bears.
+//! Slow start: a backend that is warming up gets no more requests than it can certainly handle.
 
 use super::Policy;
 use super::state::Backend;
 use crate::api::BackendId;
 use crate::stats::{TokenBucket, low_discrepancy_point};
 
-const BUDGET_FRACTION: f64 = 0.3; // of the budget is used: backends are unlike, handshakes count
+/// Fraction of the budget that is used: backends differ, and handshakes take capacity too.
+const BUDGET_FRACTION: f64 = 0.3;
+/// Burst of a backend's budget, in requests.
 const BUDGET_BURST: f64 = 1.0;
-const PEAK_RESPONSE_RATE_DECAY_MS: f64 = 60_000.0; // how long a rate of answers proves what a warm backend serves
+/// Decay time, in milliseconds, of the response rate that a warm backend has proved to reach.
+const PEAK_RESPONSE_RATE_DECAY_MS: f64 = 60_000.0;
+/// Averaging time of the response rate, in milliseconds.
 const RESPONSE_RATE_AVERAGE_MS: f64 = 1000.0;
-const BACKEND_ID_MODULUS: BackendId = 8191; // keeps the fraction precise
+/// Modulus of the backend ids in the low-discrepancy sequence, which keeps its fractions precise.
+const BACKEND_ID_MODULUS: BackendId = 8191;
 
 impl Policy {
-    /// Capacity that a backend surely has by now, as a share of its full one.
+    /// Returns the capacity that a backend certainly has by now, as a fraction of its full capacity.
     pub fn warm_up_fraction(&self, backend: &Backend) -> f64 {
         let guarantees = &self.settings.guarantees;
         let initial = guarantees.initial_capacity_fraction.min(1.0);
@@ -22,14 +27,16 @@
         initial * (1.0 - progress) + progress
     }
 
-    /// Differs from instance to instance, so that the first requests of all do not coincide.
+    /// Returns the initial budget of a backend. It differs between instances, so that their first requests
+    /// do not coincide.
     pub fn initial_slow_start_budget(&self, id: BackendId) -> TokenBucket {
         let index = f64::from(self.settings.instance_index) + f64::from(id % BACKEND_ID_MODULUS);
         TokenBucket::with_tokens(low_discrepancy_point(index))
     }
 
-    /// Lets the budgets grow with the most that backends have proved to serve, at the capacity reached:
-    /// what is answered just now is little where many warm up or all are idle.
+    /// Refills the budgets by the highest response rate that backends have proved to reach, scaled to their
+    /// present capacity. The current response rate is low while many backends are warming up or all are
+    /// idle.
     pub fn refill_slow_start_budgets(&mut self, elapsed_ms: f64) {
         let rate = self.limit.responses_per_warm_backend_ms;
         self.response_rate.update(rate, (elapsed_ms / RESPONSE_RATE_AVERAGE_MS).min(1.0));
@@ -38,7 +45,8 @@
             elapsed_ms,
             PEAK_RESPONSE_RATE_DECAY_MS,
         );
-        // The tier serves what its tenants may ask of it: where all warm up, there would hardly be an answer.
+        // The tier is able to serve the quotas of its tenants. While all backends are warming up, there are
+        // hardly any responses to learn the rate from.
         let quota: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s / 1000.0).sum();
         let instances = f64::from(self.settings.instance_count);
         let quota_rate = quota / instances / (self.subset.ring().len() as f64).max(1.0);
--- a/crates/balancer/src/policy/state.rs
+++ b/crates/balancer/src/policy/state.rs
@@ -1,17 +1,19 @@
-//! The records that the policy keeps of backends and requests.
+//! Records of backends and requests.
 
 use crate::api::{EndpointInfo, RequestId};
 use crate::collections::{ByClass, Quota};
 use crate::stats::{MovingAverage, PriorMean, TimedExclusion, TokenBucket};
 use std::collections::VecDeque;
 
-/// A backend, as the endpoint list and its responses describe it.
+/// A backend: its endpoint list entry, its calls, and what its responses have shown.
 #[derive(Default)]
 pub struct Backend {
     pub endpoint: EndpointInfo,
     pub calls: VecDeque<Call>,
-    pub health: ByClass<Health>, // it may answer one class, and be unresponsive for another
-    pub relative_latency: PriorMean, // over the mean of its class
+    /// Overall and by class: a backend can respond to one class and be unresponsive to another.
+    pub health: ByClass<Health>,
+    /// Latency as a multiple of the mean latency of the class.
+    pub relative_latency: PriorMean,
     pub error_rate: MovingAverage,
     pub slow_start_budget: TokenBucket,
 }
@@ -21,10 +23,11 @@
 pub struct Call {
     pub request: RequestId,
     pub sent_at_ms: f64,
-    pub class: usize, // slot
+    /// Slot of the class.
+    pub class: usize,
 }
 
-/// Whether a backend responds.
+/// Whether a backend responds, and its ejection if it does not.
 #[derive(Default, Clone)]
 pub struct Health {
     pub last_response_at_ms: f64,
@@ -32,6 +35,7 @@
 }
 
 impl Health {
+    /// Creates the record of a backend that responded at `now_ms`.
     pub fn responsive_at(now_ms: f64) -> Self {
         Health { last_response_at_ms: now_ms, ..Health::default() }
     }
@@ -40,7 +44,8 @@
 /// An attempt of a request.
 #[derive(Default)]
 pub struct Attempt {
-    pub endpoint: EndpointInfo, // that it was sent to, as it was then
+    /// The endpoint that it was sent to, as listed at that time.
+    pub endpoint: EndpointInfo,
     pub sent_at_ms: f64,
     pub is_in_flight: bool,
     pub never_ran: bool,
@@ -50,21 +55,26 @@
 /// A request that is pending, or has attempts in flight.
 #[derive(Default)]
 pub struct Request {
-    pub key: u64,     // of an ordered class, else 0
-    pub class: usize, // slot: it ends under the class that it was admitted with
+    /// Ordering key; 0 if the class is not ordered by key.
+    pub key: u64,
+    /// Slot of the class that it was admitted with, which it keeps until it ends.
+    pub class: usize,
     pub quota: Quota,
-    pub max_attempts: u32, // as it was admitted
+    /// Attempt limit at admission.
+    pub max_attempts: u32,
     pub charged_tenant: Option<usize>,
     pub deadline_ms: f64,
     pub queue_deadline_ms: f64,
     pub has_ended: bool,
-    pub is_body_streamed: bool, // a backend begins work with the last byte
-    pub is_body_consumed: bool, // it can't be sent again
+    /// Whether the body is still arriving; a backend begins work with the last byte.
+    pub is_body_streamed: bool,
+    /// Whether the body was streamed to a backend and can't be sent again.
+    pub is_body_consumed: bool,
     pub attempts: Vec<Attempt>,
 }
 
 impl Request {
-    /// The first attempt that may have run.
+    /// Returns the first attempt that may have run.
     pub fn possibly_executed_attempt(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| !attempt.never_ran)
     }
--- a/crates/balancer/src/policy/tests.rs
+++ b/crates/balancer/src/policy/tests.rs
@@ -1,13 +1,13 @@
-//! Unit tests of the learned limit, which needs no events.
+//! Unit tests of the learned concurrency limit.
 
 use super::concurrency_limit::ConcurrencyLimit;
 use crate::collections::Quota;
 
 const OBJECTIVE_MS: f64 = 1000.0;
-/// The mean latency at which the limit is full, by the objective.
+/// The mean latency at which the limit is full, as it follows from the objective.
 const TARGET_MS: f64 = 300.0;
 
-/// A limit of 10 for one class, in which as many calls are in flight as are given.
+/// Returns a limit of 10 for one class, with `in_flight` calls in flight.
 fn limit_with(in_flight: usize) -> ConcurrencyLimit {
     let mut limit = ConcurrencyLimit::default();
     limit.start_class(0, None, OBJECTIVE_MS);
@@ -18,7 +18,7 @@
     limit
 }
 
-/// Lets so many calls be served, each after a latency, in the time that they take by Little's law.
+/// Records `calls` served calls with a latency, over the time that they take by Little's law.
 fn serve(limit: &mut ConcurrencyLimit, calls: usize, latency: f64, in_flight: f64) {
     for _ in 0..calls {
         limit.record_served(0, latency);
@@ -44,7 +44,7 @@
 #[test]
 fn queue_in_both_views_cuts_by_at_most_one_step() {
     let mut limit = limit_with(10);
-    // Quick responses first: the baseline is low, and the target follows from the objective.
+    // Fast responses give a low baseline, so that the target follows from the objective.
     serve(&mut limit, 20, 10.0, 10.0);
     let before = limit.total();
     serve(&mut limit, 20, 4.0 * TARGET_MS, 10.0);
@@ -57,7 +57,7 @@
     for _ in 0..20 {
         limit.record_served(0, 10.0);
     }
-    // Far longer than the responses take: other calls are unresponsive.
+    // Much longer than the responses take: the calls in flight are unresponsive.
     limit.advance(60_000.0, 1.0);
     assert_eq!(limit.total(), 10.0);
 }
