--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -1,24 +1,24 @@
-//! What an instance decides.
+//! Actions: the decisions of an instance.
 
 use super::{AttemptNumber, BackendId, RequestId, TimerToken};
 use std::fmt;
 
-/// Why a request is not served, for the log.
+/// Why a request was not served, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnservedReason {
-    /// No class of the settings is the request's.
+    /// The settings have no such class.
     UnknownClass,
-    /// No backend takes requests.
+    /// No backend accepts requests.
     NoReadyBackend,
-    /// The concurrency limit is reached, and as many requests are queued.
+    /// The concurrency limit is reached, and the queue is as long as the limit.
     QueueFull,
-    /// It was queued for as long as it may be.
+    /// The request was queued for the longest time allowed.
     QueueTimeout,
-    /// It was behind others of its ordering key for as long as it may be.
+    /// The request waited behind others of its ordering key for the longest time allowed.
     KeyQueueTimeout,
-    /// Too little of its client's time is left to begin.
+    /// Too little time is left before the deadline of its client.
     DeadlineTooClose,
-    /// Its attempts ended unserved, and no further one is allowed or in time.
+    /// All attempts ended without being served, and another one is not allowed or would be too late.
     AttemptsFailed,
 }
 
@@ -29,39 +29,39 @@
             UnservedReason::NoReadyBackend => "no ready backend",
             UnservedReason::QueueFull => "queue full",
             UnservedReason::QueueTimeout => "queue timeout",
-            UnservedReason::KeyQueueTimeout => "queue timeout behind its key",
+            UnservedReason::KeyQueueTimeout => "queue timeout behind its ordering key",
             UnservedReason::DeadlineTooClose => "deadline too close",
             UnservedReason::AttemptsFailed => "attempts failed",
         })
     }
 }
 
-/// A decision; the proxy carries them out in order.
+/// A decision. The proxy carries out the actions in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send an attempt of a request.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The backend to send it to.
         backend: BackendId,
-        /// When the attempt is abandoned.
+        /// Time at which the attempt is abandoned.
         expires_at_ms: f64,
     },
-    /// Final answer: rejected, a retry by the client is harmless.
+    /// Final answer: rejected. A retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away; 0 is no advice.
+        /// Delay after which the client should retry; 0 for no advice.
         retry_after_ms: f64,
-        /// Why it is not served.
+        /// Why it was not served.
         reason: UnservedReason,
     },
-    /// Final answer: failed, the request may have run.
+    /// Final answer: failed. The request may have run.
     Fail {
         /// The request.
         request: RequestId,
-        /// Why it is not served.
+        /// Why it was not served.
         reason: UnservedReason,
     },
     /// Cancel one attempt.
@@ -71,11 +71,11 @@
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// Ask for an [`Event::TimerFired`](super::Event::TimerFired).
+    /// Start a timer, which reports [`Event::TimerFired`](super::Event::TimerFired).
     SetTimer {
-        /// Time from now.
+        /// Delay from now.
         delay_ms: f64,
-        /// Comes back with the event.
+        /// Token that the event returns.
         token: TimerToken,
     },
     /// Close the idle connections to a backend.
@@ -85,16 +85,16 @@
     },
     /// Poll the endpoint list.
     PollEndpoints,
-    /// Send nothing more to a backend, attempts under way included, or send to it again.
+    /// Send nothing more to a backend, attempts in progress included, or send to it again.
     SetSuspended {
         /// The backend.
         backend: BackendId,
-        /// Suspended or not.
+        /// Whether it is suspended.
         is_suspended: bool,
     },
-    /// Send clients elsewhere, or serve them again.
+    /// Direct clients to other instances, or serve them again.
     SetDraining {
-        /// Draining or not.
+        /// Whether the instance is draining.
         is_draining: bool,
     },
 }
--- a/crates/balancer/src/api/error.rs
+++ b/crates/balancer/src/api/error.rs
@@ -1,11 +1,11 @@
 //! Errors of the interface.
 
-/// Why settings were rejected.
+/// A setting that was rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("settings: {field}: {reason}")]
 pub struct SettingsError {
-    /// The setting, as the path of its key, such as `classes[1].aim`.
+    /// Path of the key of the setting, such as `classes[1].aim`.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the setting.
     pub reason: &'static str,
 }
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -1,81 +1,81 @@
-//! What an instance is told.
+//! Events: what the proxy reports to an instance.
 
 use super::{AttemptNumber, BackendId, RequestId, TimerToken};
 
-/// Something that happened.
+/// An event.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The endpoint list, or changes to it.
     EndpointList {
-        /// Relation to the list that is held.
+        /// How the list relates to the one that the instance holds.
         kind: EndpointListKind,
-        /// Its endpoints.
+        /// The endpoints of the list.
         endpoints: Vec<EndpointInfo>,
     },
-    /// A request arrived; exactly one final answer is pending from now on.
+    /// A request arrived. From now on exactly one final answer is pending.
     RequestArrived(RequestArrival),
-    /// The last byte of a request's body has come.
+    /// The last byte of a request's body was received.
     BodyReceived {
         /// The request.
         request: RequestId,
-        /// When its client gives up: that counts from now.
+        /// Deadline of the client, which counts from now on.
         deadline_ms: f64,
     },
     /// An attempt ended.
     AttemptFinished(AttemptResult),
-    /// The client disconnected; no answer is pending any more.
+    /// The client disconnected. No answer is pending any more.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
-    /// The operators suspend a backend, or resume it.
+    /// The operators suspend a backend or resume it.
     SetSuspended {
-        /// The backend; no list needs to name it.
+        /// The backend, which need not be listed.
         backend: BackendId,
-        /// Suspended or not.
+        /// Whether it is suspended.
         is_suspended: bool,
     },
-    /// The operators drain this instance, or activate it again.
+    /// The operators drain this instance or activate it again.
     SetDraining {
-        /// Draining or not.
+        /// Whether the instance is draining.
         is_draining: bool,
     },
-    /// Several processes act as this instance, each with the same decisions.
+    /// The number of processes that act as this instance, each making the same decisions.
     ProcessCount {
-        /// This one and the others.
+        /// Number of processes, this one included.
         count: u32,
     },
     /// A timer fired.
     TimerFired {
-        /// As given in [`Action::SetTimer`](super::Action::SetTimer).
+        /// Token that was given in [`Action::SetTimer`](super::Action::SetTimer).
         token: TimerToken,
     },
 }
 
-/// Whether a backend takes new requests.
+/// Whether a backend accepts new requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Finishes its requests; to be sent nothing new.
+    /// Finishes its requests and must not be sent new ones.
     Draining,
-    /// Removed.
+    /// Removed from the endpoint list.
     Removed,
 }
 
-/// One backend, as the endpoint list describes it.
+/// A backend, as the endpoint list describes it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointInfo {
     /// The backend.
     pub backend: BackendId,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub phase: Phase,
     /// Its zone.
     pub zone: u16,
-    /// When its process last started; 0 is long ago.
+    /// Time at which its process last started; 0 if that was long ago.
     pub started_at_ms: f64,
-    /// Its size beside the others'.
+    /// Its capacity relative to other backends.
     pub weight: f64,
     /// Its cell.
     pub cell: u16,
@@ -84,13 +84,13 @@
 /// How an endpoint list relates to the one that the instance holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// The whole list; what it lacks is gone.
+    /// The full list. Backends that it does not contain were removed.
     Full,
-    /// Changed endpoints only.
+    /// Only the endpoints that changed.
     Delta,
-    /// The whole list as last held; may be old.
+    /// The full list as last received, which may be out of date.
     Cached,
-    /// A poll failed or a watch broke; no endpoints.
+    /// A poll failed or a watch was interrupted. The event has no endpoints.
     Failed,
 }
 
@@ -101,22 +101,22 @@
     Ok,
     /// The backend answered with an error; the request may have run.
     Error,
-    /// Rejected by a backend whose queue is full; never ran.
+    /// Rejected by a backend whose queue is full; the request never ran.
     Full,
-    /// No response in time; may have run.
+    /// No response in time; the request may have run.
     Timeout,
-    /// No connection; never ran.
+    /// No connection could be established; the request never ran.
     ConnectFailed,
-    /// The connection broke; may have run.
+    /// The connection was lost; the request may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// Cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the request never ran.
+    /// Returns whether this outcome proves that the request never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
     }
@@ -127,33 +127,34 @@
 pub struct RequestArrival {
     /// The request.
     pub request: RequestId,
-    /// What it is about; requests with one key belong together. 0 is none.
+    /// Ordering key, shared by requests that belong together; 0 for none.
     pub key: u64,
-    /// Place of its class in the settings.
+    /// Index of its class in the settings.
     pub class: u16,
-    /// Place of its tenant; 0 where there are none.
+    /// Index of its tenant in the settings; 0 if there are no tenants.
     pub tenant: u16,
-    /// When its client gives up.
+    /// Deadline of the client.
     pub deadline_ms: f64,
-    /// Its body is still arriving and is streamed; a backend begins work with the last byte.
+    /// Whether the body is still arriving and is streamed; a backend begins work with the last byte.
     pub is_body_streamed: bool,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptResult {
     /// The request.
     pub request: RequestId,
     /// The attempt.
     pub attempt: AttemptNumber,
-    /// Its backend.
+    /// The backend that it was sent to.
     pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub latency_ms: f64,
-    /// The request has its final answer; nothing is pending.
+    /// Whether the request has its final answer, so that nothing is pending.
     pub is_request_closed: bool,
-    /// The body was streamed with the attempt, so that it can't be sent again, whether or not it ran.
+    /// Whether the body was streamed with the attempt, so that it can't be sent again, whether or not the
+    /// attempt ran.
     pub is_body_consumed: bool,
 }
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,29 +1,29 @@
-//! What an instance is told at its start, and what may replace it later.
+//! Settings: what an instance is configured with at its start and by later updates.
 
 /// The settings of one balancer instance.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
-    /// This instance's number among [`instance_count`](Self::instance_count), from 0.
+    /// Index of this instance among [`instance_count`](Self::instance_count) instances, from 0.
     pub instance_index: u32,
-    /// How many instances send to this tier.
+    /// Number of instances that send to this tier.
     pub instance_count: u32,
-    /// Place of the tier that this instance sends to; 0 is the one that clients reach.
+    /// Index of the tier that this instance sends to; clients reach tier 0.
     pub tier: u32,
     /// Zone of this instance.
     pub zone: u16,
-    /// Shortest time between two rounds of events.
+    /// Shortest time between two batches of events.
     pub tick_ms: f64,
     /// How the endpoint list reaches this instance.
     pub discovery_mode: DiscoveryMode,
     /// Weight of a request beyond its tenant's quota, as a share of its class's priority weight.
     pub over_quota_weight: f64,
-    /// Request classes; a request names its place in this list.
+    /// Request classes; a request gives the index of its class in this list.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// What the site allows.
+    /// Optional features that the deployment supports.
     pub capabilities: Capabilities,
-    /// What the site guarantees, and what must be guaranteed to it.
+    /// Guarantees of the deployment, and requirements that it makes.
     pub guarantees: Guarantees,
     /// How the operators weigh and price results.
     pub objective: Objective,
@@ -35,7 +35,7 @@
     /// Changes are pushed over a watch.
     #[default]
     Push,
-    /// The list has to be polled: see [`Action::PollEndpoints`](super::Action::PollEndpoints).
+    /// The list has to be polled; see [`Action::PollEndpoints`](super::Action::PollEndpoints).
     Poll,
 }
 
@@ -44,11 +44,12 @@
 pub struct Class {
     /// A response within this time earns the full priority weight.
     pub latency_objective_ms: f64,
-    /// Value of a request beside those of other classes.
+    /// Value of a request relative to requests of other classes.
     pub priority_weight: f64,
     /// Whether and where a request may run again.
     pub idempotency: Idempotency,
-    /// Requests with one key run one at a time, in order of arrival; all such classes share their keys.
+    /// Whether requests with the same key run one at a time, in order of arrival. All such classes share
+    /// their keys.
     pub is_ordered_by_key: bool,
 }
 
@@ -57,12 +58,12 @@
 pub enum Idempotency {
     /// May run any number of times, anywhere.
     Idempotent,
-    /// Carries an idempotency key: the backends of `scope` drop repeats for `window_ms` after the first send
-    /// that may have run.
+    /// Carries an idempotency key: the backends of `scope` drop duplicates for `window_ms` after the first
+    /// attempt that may have run was sent.
     Deduplicated {
-        /// Which backends drop each other's repeats.
+        /// The backends that drop each other's duplicates.
         scope: DeduplicationScope,
-        /// For how long they do.
+        /// Time during which they drop duplicates.
         window_ms: f64,
     },
     /// Must never run twice.
@@ -70,7 +71,7 @@
     NonIdempotent,
 }
 
-/// The backends that drop repeats of a request which one of them has seen.
+/// The backends that drop duplicates of a request that one of them has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All backends.
@@ -84,37 +85,37 @@
 /// A tenant.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all instances, within its quota.
+    /// Quota in requests per second, over all instances.
     pub quota_per_s: f64,
 }
 
-/// What the site allows.
+/// Optional features that the deployment supports.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Capabilities {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub can_cancel: bool,
-    /// Rejected clients are told when to come back.
+    /// Whether rejected clients are sent a `Retry-After`.
     pub sends_retry_after: bool,
-    /// Longest such advice that a client heeds.
+    /// Longest `Retry-After` delay that a client respects.
     pub max_retry_after_ms: f64,
-    /// Most attempts for one request.
+    /// Most attempts of a request.
     pub max_attempts: u32,
 }
 
-/// What the site guarantees, and what must be guaranteed to it.
+/// Guarantees of the deployment, and requirements that it makes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Guarantees {
-    /// Share of its capacity that a backend has when it starts, at least.
+    /// Least fraction of its full capacity that a backend has when it starts.
     pub initial_capacity_fraction: f64,
-    /// Time after which a backend is warm, at most.
+    /// Longest time until a started backend is warm.
     pub warm_up_ms: f64,
-    /// A backend that is warming up fails when sent more than this multiple of its present capacity.
+    /// Multiple of its present capacity above which a backend that is warming up fails.
     pub overload_multiple: f64,
-    /// Where the list is polled: longest silence after which a change counts as notified.
+    /// In poll mode: longest time without a poll after which a change still counts as notified.
     pub poll_within_ms: f64,
-    /// Idle connections to a draining backend are closed within this time; 0 where there is no such rule.
+    /// Time within which idle connections to a draining backend are closed; 0 if there is no such rule.
     pub idle_release_ms: f64,
-    /// The key of an ordered class is quarantined for so long after an attempt that may still be running.
+    /// Quarantine of an ordering key after an attempt that may still be running.
     pub key_quarantine_ms: f64,
 }
 
@@ -127,17 +128,17 @@
     pub cross_zone_price: f64,
 }
 
-/// Settings that replace those in force: see [`Balancer::configure`](crate::Balancer::configure).
+/// Settings that replace those in force; see [`Balancer::configure`](crate::Balancer::configure).
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SettingsUpdate {
-    /// Its version, above that of the one in force; 0 is the next one.
+    /// Version of the update, higher than that of the settings in force; 0 for the next one.
     pub version: u64,
-    /// The settings.
+    /// The new settings.
     pub settings: Settings,
-    /// For each class the place of the one in force that it continues; none where it is new.
+    /// For each class the index of the class in force that it continues; `None` for a new class.
     pub continued_classes: Vec<Option<u16>>,
     /// The same for each tenant.
     pub continued_tenants: Vec<Option<u16>>,
-    /// Hash of whatever else comes under the same version: another value is other content.
+    /// Hash of the other configuration with the same version: another value means other content.
     pub content_hash: u64,
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,10 +1,10 @@
-//! A balancer instance as a proxy uses it. Decides nothing: that is the policy's part.
+//! A balancer instance as a proxy uses it. All decisions are made by the policy.
 
 use crate::api::{Action, Event, Gauges, Settings, SettingsError, SettingsUpdate};
 use crate::policy::Policy;
 use crate::settings_validation::{SettingsVersion, is_unchanged, validate, validate_update};
 
-/// One balancer instance. See the crate's documentation for how a proxy drives it.
+/// One balancer instance. The crate documentation shows how a proxy drives it.
 pub struct Balancer {
     policy: Policy,
     is_started: bool,
@@ -12,18 +12,19 @@
 }
 
 impl Balancer {
-    /// Starts an instance that knows nothing yet; `seed` feeds its only random numbers.
+    /// Creates an instance that has learned nothing yet; `seed` initializes its only random number
+    /// generator.
     ///
     /// # Errors
     ///
-    /// Names what is wrong with the settings.
+    /// Returns an error that names the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validate(&settings)?;
         let policy = Policy::new(initial_update(settings), seed);
         Ok(Balancer { policy, is_started: false, version: SettingsVersion::default() })
     }
 
-    /// Takes one event at clock time `now` (milliseconds) and appends what is to be done about it.
+    /// Handles one event at clock time `now_ms` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now_ms: f64, event: Event, actions: &mut Vec<Action>) {
         if !self.is_started {
             self.is_started = true;
@@ -33,16 +34,15 @@
         actions.append(&mut self.policy.actions);
     }
 
-    /// Puts other settings in force at clock time `now` (milliseconds), in one step between two events; returns
-    /// their version.
+    /// Replaces the settings at clock time `now_ms`, in one step between two events; returns their version.
     ///
-    /// Requests admitted before keep the idempotency, objective, deadline, charge and limit of attempts that
-    /// they were admitted with. What was learned stays, and so do limits and budgets; a class or tenant that
-    /// continues one goes on with what that had.
+    /// Requests that were admitted earlier keep the idempotency, objective, deadline, charge and attempt
+    /// limit that they were admitted with. What was learned is kept, and so are limits and budgets; a class
+    /// or tenant that continues another one takes over its state.
     ///
     /// # Errors
     ///
-    /// Names what is wrong with the settings; nothing has changed then.
+    /// Returns an error that names the invalid setting; nothing has changed in that case.
     pub fn configure(
         &mut self,
         now_ms: f64,
@@ -61,17 +61,18 @@
         Ok(version.number)
     }
 
-    /// Version of the settings in force; 0 until one was given.
+    /// Returns the version of the settings in force; 0 until one was given.
     pub fn version(&self) -> u64 {
         self.version.number
     }
 
-    /// Backends that it holds records of: those listed, and those gone that have attempts in flight.
+    /// Returns the number of backends with a record: those listed, and removed ones with attempts in
+    /// flight.
     pub fn known_backend_count(&self) -> usize {
         self.policy.backends.len()
     }
 
-    /// What the instance holds at present.
+    /// Returns the present state of the instance.
     pub fn gauges(&self) -> Gauges {
         Gauges {
             requests: self.policy.requests.len(),
@@ -84,7 +85,7 @@
     }
 }
 
-/// The first settings, which continue none.
+/// Returns the update with the first settings, which continue none.
 fn initial_update(settings: Settings) -> SettingsUpdate {
     let continued_classes = vec![None; settings.classes.len()];
     let continued_tenants = vec![None; settings.tenants.len()];
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,18 +1,19 @@
-//! The decision policy of a client-side load balancer for services that call services, without I/O.
+//! The decision policy of a client-side load balancer for services that call other services, without I/O.
 //!
-//! Each [`Balancer`] is one instance in front of one tier. It learns one concurrency limit for its own calls,
-//! cuts it into slices by priority weight, sheds low-priority requests first once past it, and selects backends
-//! inside a subset of the tier that is as large as its load. It is told what happens ([`api::Event`]) at a clock
-//! time and answers with what to do ([`api::Action`]). It owns no clock, thread or socket: the same settings,
-//! seed and events give the same actions.
+//! Each [`Balancer`] is one instance in front of one tier. It learns one concurrency limit for its own
+//! calls, divides the limit into slices by priority weight, sheds low-priority requests first when the
+//! limit is exceeded, and selects backends from a subset of the tier whose size follows its load. The proxy
+//! reports events ([`api::Event`]) with a clock time, and the instance responds with actions
+//! ([`api::Action`]). It has no clock, thread or socket of its own: the same settings, seed and events
+//! result in the same actions.
 //!
-//! A proxy embeds it like this:
+//! A proxy embeds it as follows:
 //!
 //! ```
 //! use foldhitch_balancer::Balancer;
 //! use foldhitch_balancer::api::*;
 //!
-//! // Start: what the instance is told once.
+//! // The settings, given at the start.
 //! let settings = Settings {
 //!     instance_index: 0,
 //!     instance_count: 1,
@@ -29,14 +30,14 @@
 //! let mut balancer = Balancer::new(settings, 42)?;
 //! let mut actions = Vec::new();
 //!
-//! // The endpoint list. The first event also asks for a timer.
+//! // The endpoint list. The first event also starts a timer.
 //! let endpoint = |backend| EndpointInfo { backend, weight: 1.0, ..EndpointInfo::default() };
 //! let endpoints = vec![endpoint(1), endpoint(2)];
 //! let list = Event::EndpointList { kind: EndpointListKind::Full, endpoints };
 //! balancer.handle(0.0, list, &mut actions);
-//! let Some(&Action::SetTimer { delay_ms, token }) = actions.first() else { panic!("a timer is asked for") };
+//! let Some(&Action::SetTimer { delay_ms, token }) = actions.first() else { panic!("expected a timer") };
 //!
-//! // A request: here it is sent at once.
+//! // A request, which is sent at once.
 //! actions.clear();
 //! let arrival = RequestArrival {
 //!     request: 7,
@@ -47,13 +48,13 @@
 //!     is_body_streamed: false,
 //! };
 //! balancer.handle(10.0, Event::RequestArrived(arrival), &mut actions);
-//! let Some(&Action::Send { request: 7, backend, .. }) = actions.first() else { panic!("sent") };
+//! let Some(&Action::Send { request: 7, backend, .. }) = actions.first() else { panic!("expected a send") };
 //!
-//! // The timer, when it is due.
+//! // The timer, when it fires.
 //! actions.clear();
 //! balancer.handle(delay_ms, Event::TimerFired { token }, &mut actions);
 //!
-//! // The outcome. The proxy has forwarded the response, so the request is closed.
+//! // The result. The proxy has forwarded the response, so the request is closed.
 //! let result = AttemptResult {
 //!     request: 7,
 //!     attempt: 0,
@@ -69,19 +70,21 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 //!
-//! # What the proxy has to do
+//! # Requirements on the proxy
 //!
-//! - Report every event, in order, with a clock that only goes forward; an [`api::Event::TimerFired`] for every
-//!   timer that was asked for.
-//! - Report one [`api::Event::AttemptFinished`] for every [`api::Action::Send`], also after the request's end, and
-//!   no later than its `expires_at_ms`.
-//! - End an attempt that is reported as timed out or cancelled: its backend is told, so that the work stops there.
-//! - Configure other settings between two events, through [`Balancer::configure`]; names and other values that go
-//!   with them change in the same step.
-//! - Set `is_request_closed` once the request is over: the first served response goes to the client by itself and
-//!   ends it.
+//! - Report every event in order, with a clock that never goes backwards, and an [`api::Event::TimerFired`]
+//!   for every timer.
+//! - Report one [`api::Event::AttemptFinished`] for every [`api::Action::Send`], also after the end of the
+//!   request, and no later than at its `expires_at_ms`.
+//! - End an attempt that is reported as timed out or cancelled, and notify its backend, so that the work
+//!   stops there.
+//! - Replace settings between two events, through [`Balancer::configure`]; names and other values that
+//!   belong to them change in the same step.
+//! - Set `is_request_closed` once the request is over: the proxy forwards the first served response to the
+//!   client on its own, which ends the request.
 //!
-//! Events about requests, attempts or backends that the instance does not know, or that are over, are ignored.
+//! Events about requests, attempts or backends that the instance does not know, or that have ended, are
+//! ignored.
 
 pub mod api;
 mod balancer;
--- a/crates/balancer/src/settings_format.rs
+++ b/crates/balancer/src/settings_format.rs
@@ -1,18 +1,19 @@
-//! The settings' JSON form: on the simulator's wire as text, at a real proxy as a part of its configuration.
+//! The JSON form of the settings: text in the simulator protocol, and a part of the configuration of a real
+//! proxy.
 
 use crate::api;
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// The settings, split by who reads them.
+/// The settings, split by the component that uses them.
 #[derive(Debug, Clone)]
 pub struct ResolvedSettings {
-    /// What the decisions need.
+    /// Settings of the balancer.
     pub balancer: api::Settings,
-    /// What a proxy on real sockets needs beside them.
+    /// Settings that only a proxy with real sockets needs.
     pub site: SiteSettings,
 }
 
-/// Names and figures that no decision needs; empty or 0 where the text leaves them out.
+/// Names and values that no decision depends on; empty or 0 if the text omits them.
 #[derive(Debug, Clone, Default)]
 pub struct SiteSettings {
     /// Names of the classes, in the order of the settings.
@@ -21,32 +22,32 @@
     pub tenant_names: Vec<String>,
     /// Names of the zones.
     pub zone_names: Vec<String>,
-    /// Idle connections are closed by the backend after this, at the latest.
+    /// Time after which backends close idle connections, at the latest.
     pub connection_idle_ms: f64,
-    /// A connection not made by then has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout_ms: f64,
-    /// Most open requests of an instance.
+    /// Largest number of open requests of an instance.
     pub max_open_requests: usize,
-    /// Time after the notice within which sends to a draining backend must end.
+    /// Time after the notice of a drain within which sending to the backend must end.
     pub drain_deadline_ms: f64,
-    /// The longest client timeout, over all classes.
+    /// Longest client timeout of all classes.
     pub longest_client_timeout_ms: f64,
-    /// The longest latency objective, over all classes.
+    /// Longest latency objective of all classes.
     pub longest_latency_objective_ms: f64,
 }
 
-/// Why a text holds no settings.
+/// Why a text could not be parsed as settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsFormatError {
-    /// A key is missing or holds no such value; the source names its path.
+    /// A key is missing or has an invalid value; the source gives its path.
     #[error("settings: {0}")]
     InvalidKey(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the settings.
+    /// The settings are followed by other text.
     #[error("settings: {0}")]
     TrailingText(#[source] serde_json::Error),
 }
 
-/// Parses the text; an error names the key.
+/// Parses settings from a text; an error names the key.
 pub fn parse(text: &[u8]) -> Result<ResolvedSettings, SettingsFormatError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let settings = read(&mut json)?;
@@ -54,7 +55,7 @@
     Ok(settings)
 }
 
-/// Reads the object from where it stands; an error names the key.
+/// Reads a settings object from a deserializer; an error names the key.
 pub fn read<'de, D>(from: D) -> Result<ResolvedSettings, SettingsFormatError>
 where
     D: Deserializer<'de, Error = serde_json::Error>,
@@ -64,7 +65,7 @@
     Ok(object.resolve())
 }
 
-/// Reads a figure that must be finite and not negative.
+/// Reads a number that must be finite and not negative.
 fn non_negative<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     let value = f64::deserialize(from)?;
     if value.is_finite() && value >= 0.0 {
--- a/crates/balancer/src/settings_validation.rs
+++ b/crates/balancer/src/settings_validation.rs
@@ -1,11 +1,12 @@
-//! Rejects settings that no decision could be made by, and updates that can't replace the settings in force.
+//! Validation: rejects settings that can't be used for decisions, and updates that can't replace the
+//! settings in force.
 
 use crate::api::{Settings, SettingsError, SettingsUpdate};
 
-/// Least latency objective: one of 0 would divide by nothing.
+/// Least latency objective in milliseconds: an objective of 0 would cause a division by zero.
 const MIN_LATENCY_OBJECTIVE_MS: f64 = 1e-3;
 
-/// Checks the figures; an error names the first that is wrong, by the path of its key.
+/// Checks the values; an error names the first invalid one by the path of its key.
 pub fn validate(settings: &Settings) -> Result<(), SettingsError> {
     let guarantees = &settings.guarantees;
     let instance_count = f64::from(settings.instance_count);
@@ -34,7 +35,7 @@
     Ok(())
 }
 
-/// Requires that a figure, less its lower bound, is finite and not negative.
+/// Requires that a value, less its lower bound, is finite and not negative.
 fn require(field: impl Into<String>, above_bound: f64) -> Result<(), SettingsError> {
     if above_bound.is_finite() && above_bound >= 0.0 {
         return Ok(());
@@ -42,21 +43,21 @@
     Err(SettingsError { field: field.into(), reason: "is missing, negative, not finite or out of range" })
 }
 
-/// Version of the settings in force, with a hash of what else was configured under it.
+/// Version of the settings in force, with a hash of the other configuration of that version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SettingsVersion {
-    /// The version.
+    /// The version number.
     pub number: u64,
     content_hash: u64,
 }
 
 impl SettingsVersion {
-    /// The version that follows with an update; the same one again if it brings the same content.
+    /// Returns the version after an update; it stays the same if the update has the same content.
     pub fn next(self, update: &SettingsUpdate, is_unchanged: bool) -> Result<Self, SettingsError> {
         let is_same_content = is_unchanged && self.content_hash == update.content_hash;
         let is_stale = update.version < self.number || update.version == self.number && !is_same_content;
         if update.version != 0 && is_stale {
-            let reason = "is not above the one in force";
+            let reason = "must be higher than the version in force";
             return Err(SettingsError { field: "version".to_string(), reason });
         }
         let number = match update.version {
@@ -68,8 +69,8 @@
     }
 }
 
-/// Checks what an update changes against the settings in force: some settings need a restart, and classes and
-/// tenants may continue only those that there are.
+/// Checks an update against the settings in force: some settings need a restart, and classes and tenants
+/// may only continue existing ones.
 pub fn validate_update(old: &Settings, update: &SettingsUpdate) -> Result<(), SettingsError> {
     let new = &update.settings;
     require_same("tier", old.tier == new.tier)?;
@@ -77,15 +78,21 @@
     require_same("tick", old.tick_ms == new.tick_ms)?;
     require_same("discovery", old.discovery_mode == new.discovery_mode)?;
     if !is_continuation(&update.continued_classes, old.classes.len(), new.classes.len()) {
-        return Err(SettingsError { field: "classes".to_string(), reason: "continue no such classes" });
+        return Err(SettingsError {
+            field: "classes".to_string(),
+            reason: "must each be new or continue a different class in force",
+        });
     }
     if !is_continuation(&update.continued_tenants, old.tenants.len(), new.tenants.len()) {
-        return Err(SettingsError { field: "tenants".to_string(), reason: "continue no such tenants" });
+        return Err(SettingsError {
+            field: "tenants".to_string(),
+            reason: "must each be new or continue a different tenant in force",
+        });
     }
     Ok(())
 }
 
-/// Whether an update keeps the settings in force, with classes and tenants in their places.
+/// Returns whether an update keeps the settings in force, with classes and tenants at their indexes.
 pub fn is_unchanged(old: &Settings, update: &SettingsUpdate) -> bool {
     *old == update.settings
         && is_in_place(&update.continued_classes)
@@ -99,7 +106,8 @@
     Err(SettingsError { field: field.to_string(), reason: "needs a restart" })
 }
 
-/// Whether each of `new` classes or tenants names which of `old` it continues, and none is continued twice.
+/// Returns whether `continued` has an entry for each of `new` classes or tenants, and each of `old` is
+/// continued at most once.
 fn is_continuation(continued: &[Option<u16>], old: usize, new: usize) -> bool {
     let mut is_taken = vec![false; old];
     for index in continued.iter().flatten() {
