--- a/crates/balancer/src/collections/by_class.rs
+++ b/crates/balancer/src/collections/by_class.rs
@@ -1,8 +1,8 @@
-//! A value for all classes together, and one for each class.
+//! A value for all classes together and one for each class.
 
 use std::ops::{Index, IndexMut};
 
-/// A value for all classes (`None`) and for each class slot (`Some`).
+/// A value for all classes together (`None`) and for each class slot (`Some`).
 #[derive(Debug, Default, Clone, PartialEq)]
 pub struct ByClass<T> {
     overall: T,
@@ -10,17 +10,17 @@
 }
 
 impl<T: Clone> ByClass<T> {
-    /// The same value for all classes together and for each of so many.
+    /// Creates the same value for all classes together and for each of `classes` slots.
     pub fn new(value: T, classes: usize) -> Self {
         ByClass { overall: value.clone(), classes: vec![value; classes] }
     }
 
-    /// Sets the value of a class; a new slot is the next one.
+    /// Sets the value of a class slot. A new slot must be the next one.
     pub fn set(&mut self, slot: usize, value: T) {
         super::set_slot(&mut self.classes, slot, value);
     }
 
-    /// Removes the classes behind so many.
+    /// Keeps the first `classes` slots and removes the others.
     pub fn truncate(&mut self, classes: usize) {
         self.classes.truncate(classes);
     }
--- a/crates/balancer/src/collections/by_quota.rs
+++ b/crates/balancer/src/collections/by_quota.rs
@@ -1,35 +1,35 @@
-//! A value for requests within their tenant's quota, and another for those over it.
+//! A value for requests within the quota of their tenant and one for requests over it.
 
 use std::ops::{Index, IndexMut};
 
 /// Whether a request was within its tenant's quota when it arrived.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Quota {
-    /// Within the quota, or there is none.
+    /// Within the quota, or the tenant has none.
     #[default]
     Within,
-    /// Over it.
+    /// Over the quota.
     Over,
 }
 
 /// A value for each [`Quota`].
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct ByQuota<T> {
-    /// Of requests within their tenant's quota.
+    /// The value for requests within their tenant's quota.
     pub within: T,
-    /// Of requests over it.
+    /// The value for requests over their tenant's quota.
     pub over: T,
 }
 
 impl<T> ByQuota<T> {
-    /// Another value for each.
+    /// Applies a function to each value.
     pub fn map<U>(self, f: impl Fn(T) -> U) -> ByQuota<U> {
         ByQuota { within: f(self.within), over: f(self.over) }
     }
 }
 
 impl ByQuota<f64> {
-    /// Both together.
+    /// Returns the sum of both values.
     pub fn total(self) -> f64 {
         self.within + self.over
     }
--- a/crates/balancer/src/collections/keyed_queues.rs
+++ b/crates/balancer/src/collections/keyed_queues.rs
@@ -1,5 +1,5 @@
-//! First in, first out for each key: the head of a key's queue is dispatched alone, and stays the head until it
-//! is removed.
+//! One FIFO queue per key. Only the head of a queue is dispatched, and it remains the head until it is
+//! removed.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -23,7 +23,8 @@
 }
 
 impl<T: Copy + PartialEq> KeyedQueues<T> {
-    /// Adds an item to its key's queue. Returns whether it has to wait; a first item is dispatched with this.
+    /// Adds an item to the queue of its key. Returns whether the item has to wait; the first item of a
+    /// queue is dispatched by this call.
     pub fn push(&mut self, key: u64, item: T) -> bool {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.items.push_back(item);
@@ -34,7 +35,7 @@
         false
     }
 
-    /// Removes an item; behind the head that was dispatched, the next one may be.
+    /// Removes an item. If it is the dispatched head, the next item can be dispatched.
     pub fn remove(&mut self, key: u64, item: T) {
         let Some(queue) = self.queues.get_mut(&key) else { return };
         if queue.items.front() == Some(&item) {
@@ -43,14 +44,15 @@
         queue.items.retain(|&queued| queued != item);
     }
 
-    /// Lets nothing of a key be dispatched up to a time.
+    /// Prevents items of a key from being dispatched up to and including a time.
     pub fn quarantine(&mut self, key: u64, until_ms: f64) {
         if let Some(queue) = self.queues.get_mut(&key) {
             queue.quarantined_until_ms = until_ms;
         }
     }
 
-    /// Dispatches the head of a key's queue, once, and past the key's quarantine; forgets a queue that is empty.
+    /// Dispatches the head of a key's queue, unless it was dispatched already or the key is quarantined.
+    /// Removes the queue if it is empty.
     pub fn dispatch(&mut self, key: u64, now_ms: f64) -> Option<T> {
         let queue = self.queues.get_mut(&key)?;
         if queue.is_head_dispatched || now_ms <= queue.quarantined_until_ms {
@@ -64,12 +66,12 @@
         head
     }
 
-    /// The keys that have a queue.
+    /// Returns the keys that have a queue.
     pub fn keys(&self) -> Vec<u64> {
         self.queues.keys().copied().collect()
     }
 
-    /// The items that have not been dispatched.
+    /// Returns the items that have not been dispatched.
     pub fn waiting(&self) -> impl Iterator<Item = T> {
         self.queues.values().flat_map(|queue| {
             let dispatched = usize::from(queue.is_head_dispatched);
--- a/crates/balancer/src/collections/levels.rs
+++ b/crates/balancer/src/collections/levels.rs
@@ -1,16 +1,17 @@
-//! Levels of values, and the shares that they claim of a whole.
+//! Levels of values, and their shares of a whole.
 
-/// A level.
+/// A level: one or more values that are equal within a tolerance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Level {
-    /// Its value.
+    /// The value of the level.
     pub value: f64,
     /// Its share of the whole.
     pub share: f64,
 }
 
-/// The distinct levels of some values, highest first; values within `tolerance` are of one level. The claiming ones
-/// share the whole by their values, levels of the others alone have no share.
+/// Returns the distinct levels of `sharing` and `others`, highest first; values within `tolerance` are on
+/// one level. The levels of `sharing` divide the whole in proportion to their values, and levels of
+/// `others` only have no share.
 pub fn levels_with_shares(sharing: &[f64], others: &[f64], tolerance: f64) -> Vec<Level> {
     let mut values: Vec<f64> = sharing.iter().chain(others).copied().collect();
     values.sort_by(|a, b| b.total_cmp(a));
@@ -21,7 +22,7 @@
     values.iter().map(|value| Level { value: *value, share: shared_value(value) / sum }).collect()
 }
 
-/// The place of the level that is nearest to `value`; the first of several, and 0 if there is none.
+/// Returns the index of the level that is nearest to `value`: the first of several, and 0 if there is none.
 pub fn nearest_level(levels: &[Level], value: f64) -> usize {
     let distance = |index: usize| (levels[index].value - value).abs();
     (0..levels.len()).min_by(|&a, &b| distance(a).total_cmp(&distance(b))).unwrap_or(0)
--- a/crates/balancer/src/collections/mod.rs
+++ b/crates/balancer/src/collections/mod.rs
@@ -1,4 +1,4 @@
-//! Collections without thresholds of the policy's own.
+//! Collections without thresholds of their own: the policy passes these as parameters.
 
 mod by_class;
 mod by_quota;
@@ -21,8 +21,6 @@
 pub use random_pair::random_pair;
 pub use ring_subset::{RingSubset, ring_window};
 pub use sliced_queue::Slices;
-#[cfg(test)]
-use slot_table::AssignedSlot;
 pub use slot_table::{SlotTable, set_slot};
 pub use suspensions::Suspensions;
 pub use tenant_quotas::TenantQuotas;
--- a/crates/balancer/src/collections/random_pair.rs
+++ b/crates/balancer/src/collections/random_pair.rs
@@ -1,7 +1,7 @@
-//! Two random choices.
+//! Random selection of two items.
 
-/// Draws up to so many times from some items until two different eligible ones are found; the first of them,
-/// and the second, if there is one.
+/// Draws up to `max_draws` times from some items until two different eligible ones are found. Returns the
+/// first, and the second if there is one.
 pub fn random_pair<T: Copy + PartialEq>(
     rng: &mut fastrand::Rng,
     items: &[T],
--- a/crates/balancer/src/collections/ring_subset.rs
+++ b/crates/balancer/src/collections/ring_subset.rs
@@ -1,6 +1,6 @@
-//! A ring of items and the part of it that is in use.
+//! A ring of items and the subset of it that is in use.
 
-/// All items in ring order, and the members of the subset, local ones first.
+/// All items in ring order, and the members of the subset, local members first.
 #[derive(Debug)]
 pub struct RingSubset<T> {
     ring: Vec<T>,
@@ -15,27 +15,27 @@
 }
 
 impl<T: Copy + PartialEq> RingSubset<T> {
-    /// All items.
+    /// Returns all items in ring order.
     pub fn ring(&self) -> &[T] {
         &self.ring
     }
 
-    /// The members.
+    /// Returns all members.
     pub fn members(&self) -> &[T] {
         &self.members
     }
 
-    /// The local members.
+    /// Returns the local members.
     pub fn local(&self) -> &[T] {
         &self.members[..self.local_count]
     }
 
-    /// The members that are not local.
+    /// Returns the members that are not local.
     pub fn remote(&self) -> &[T] {
         &self.members[self.local_count..]
     }
 
-    /// Replaces the ring; the members stay until they are set.
+    /// Replaces the ring. The members stay the same until they are set.
     pub fn set_ring(&mut self, ring: Vec<T>) {
         self.ring = ring;
     }
@@ -47,7 +47,7 @@
         self.members.extend(remote);
     }
 
-    /// Makes an item of the ring a member, unless it is one.
+    /// Makes an item of the ring a member, unless it is one already.
     pub fn add_member(&mut self, item: T, is_local: bool) {
         if self.members.contains(&item) || !self.ring.contains(&item) {
             return;
@@ -59,8 +59,8 @@
     }
 }
 
-/// Consecutive items of a ring, once around at most, until as many of them as wanted count. Each of several
-/// instances begins at another place; they are spread over the ring evenly.
+/// Returns consecutive items of a ring, once around at most, until `wanted` of them are counted. Each
+/// instance begins at another offset; the offsets are spread evenly over the ring.
 pub fn ring_window<T: Copy>(
     ring: &[T],
     instance_index: u32,
--- a/crates/balancer/src/collections/sliced_queue.rs
+++ b/crates/balancer/src/collections/sliced_queue.rs
@@ -1,19 +1,19 @@
-//! What is in flight and what waits, slice by slice of a limit.
+//! Items in flight and queued items, by slice of a limit.
 
 use std::collections::VecDeque;
 
 /// A slice of a limit.
 #[derive(Debug)]
 pub struct Slice<T> {
-    /// Its share of the limit.
+    /// The share of the limit.
     pub share: f64,
-    /// What is in flight in it.
+    /// The number of items in flight.
     pub in_flight: f64,
-    /// What waits for it, in order of arrival.
+    /// The queued items, in order of arrival.
     pub queue: VecDeque<T>,
 }
 
-/// The slices of a limit, and what is in flight over all of them.
+/// The slices of a limit, and the number of items in flight over all of them.
 #[derive(Debug)]
 pub struct Slices<T> {
     slices: Vec<Slice<T>>,
@@ -27,54 +27,54 @@
 }
 
 impl<T> Slices<T> {
-    /// How many slices there are.
+    /// Returns the number of slices.
     pub fn len(&self) -> usize {
         self.slices.len()
     }
 
-    /// A slice.
+    /// Returns a slice.
     pub fn slice(&self, slice: usize) -> &Slice<T> {
         &self.slices[slice]
     }
 
-    /// The queue of a slice.
+    /// Returns the queue of a slice.
     pub fn queue_mut(&mut self, slice: usize) -> &mut VecDeque<T> {
         &mut self.slices[slice].queue
     }
 
-    /// What is in flight, over all slices.
+    /// Returns the number of items in flight over all slices.
     pub fn in_flight(&self) -> f64 {
         self.in_flight
     }
 
-    /// The same, summed slice by slice.
+    /// Returns the same number as the sum over the slices.
     pub fn in_flight_by_slice(&self) -> f64 {
         self.slices.iter().map(|slice| slice.in_flight).sum()
     }
 
-    /// What waits, over all slices.
+    /// Returns the number of queued items over all slices.
     pub fn queued(&self) -> usize {
         self.slices.iter().map(|slice| slice.queue.len()).sum()
     }
 
-    /// Something begins in a slice.
+    /// Counts an item that begins in a slice.
     pub fn begin(&mut self, slice: usize) {
         self.in_flight += 1.0;
         self.slices[slice].in_flight += 1.0;
     }
 
-    /// Something ends in a slice.
+    /// Counts an item that ends in a slice.
     pub fn end(&mut self, slice: usize) {
         self.in_flight -= 1.0;
         self.slices[slice].in_flight -= 1.0;
     }
 
-    /// Counts what is in flight already in a slice that was cut anew.
+    /// Adds items that are in flight already to a slice that was replaced.
     pub fn carry_over(&mut self, slice: usize, in_flight: f64) {
         self.slices[slice].in_flight += in_flight;
     }
 
-    /// Cuts other slices, by their shares; returns what waited, slice by slice.
+    /// Replaces the slices by others with the given shares; returns the queued items, slice by slice.
     pub fn replace(&mut self, shares: impl Iterator<Item = f64>) -> Vec<T> {
         let queued = self.slices.drain(..).flat_map(|slice| slice.queue).collect();
         let slices = shares.map(|share| Slice { share, in_flight: 0.0, queue: VecDeque::new() });
--- a/crates/balancer/src/collections/slot_table.rs
+++ b/crates/balancer/src/collections/slot_table.rs
@@ -1,5 +1,5 @@
-//! Values that can be replaced while some of them are still in use: a value keeps its slot as long as it is
-//! the same, another one gets a slot that nobody uses.
+//! Values that can be replaced while some of them are still in use. A value keeps its slot as long as it
+//! does not change; a changed value gets a slot that is not in use.
 
 use std::ops::Index;
 
@@ -9,14 +9,14 @@
     use_count: usize,
 }
 
-/// The slots, and which of them are in force, by place.
+/// The slots, and the slot in force at each index.
 #[derive(Debug)]
 pub struct SlotTable<T> {
     slots: Vec<Slot<T>>,
     slot_by_index: Vec<usize>,
 }
 
-/// A slot that got another value.
+/// A slot that a value was assigned to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AssignedSlot {
     /// The slot.
@@ -40,33 +40,34 @@
 }
 
 impl<T: Clone + PartialEq> SlotTable<T> {
-    /// How many slots there are, in force or still in use.
+    /// Returns the number of slots that are in force or still in use.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// The values, by slot.
+    /// Returns the values by slot.
     pub fn values(&self) -> impl Iterator<Item = &T> {
         self.slots.iter().map(|slot| &slot.value)
     }
 
-    /// The slot in force at a place.
+    /// Returns the slot in force at an index.
     pub fn slot_at(&self, index: u16) -> Option<usize> {
         self.slot_by_index.get(usize::from(index)).copied()
     }
 
-    /// Somebody begins to use a slot.
+    /// Adds a use of a slot.
     pub fn acquire(&mut self, slot: usize) {
         self.slots[slot].use_count += 1;
     }
 
-    /// Somebody no longer uses a slot.
+    /// Removes a use of a slot.
     pub fn release(&mut self, slot: usize) {
         self.slots[slot].use_count -= 1;
     }
 
-    /// Puts values in force; each may continue the one of an earlier place. Returns the slots that got another
-    /// value. None of them was in force before, so what is known by slot of a continued value is still there.
+    /// Puts values in force; each may continue the value at an earlier index. Returns the slots that were
+    /// assigned another value. None of these was in force before, so that state kept by slot for a
+    /// continued value still exists.
     pub fn replace(&mut self, values: &[T], continued: &[Option<u16>]) -> Vec<AssignedSlot> {
         let before = std::mem::take(&mut self.slot_by_index);
         let mut assigned = Vec::new();
@@ -82,7 +83,7 @@
         assigned
     }
 
-    /// Removes the slots behind the last one in use; returns how many are left.
+    /// Removes the slots behind the last one in use; returns the number of those left.
     pub fn truncate(&mut self) -> usize {
         let is_used = |&slot: &usize| self.slots[slot].use_count > 0 || self.slot_by_index.contains(&slot);
         let used = (0..self.slots.len()).rfind(is_used).map_or(0, |slot| slot + 1);
@@ -90,7 +91,7 @@
         used
     }
 
-    /// Puts a value into a slot that nobody uses, a new one if there is none.
+    /// Puts a value into a slot that is not in use, or into a new one.
     fn assign_slot(&mut self, value: &T, in_force_before: &[usize]) -> usize {
         let is_free = |&slot: &usize| {
             self.slots[slot].use_count == 0
@@ -111,7 +112,7 @@
     }
 }
 
-/// Sets what is known of a slot; a new slot is the next one.
+/// Sets the state kept for a slot. A new slot must be the next one.
 pub fn set_slot<T>(values: &mut Vec<T>, slot: usize, value: T) {
     if slot < values.len() {
         values[slot] = value;
--- a/crates/balancer/src/collections/suspensions.rs
+++ b/crates/balancer/src/collections/suspensions.rs
@@ -1,4 +1,4 @@
-//! Who is suspended, and who was resumed not long ago.
+//! Ids that are suspended, and ids that were resumed recently.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,11 @@
     was_member: bool,
 }
 
-/// The suspended and the resumed, by their ids.
+/// Suspended and recently resumed ids.
 #[derive(Debug)]
 pub struct Suspensions<K> {
-    suspended: BTreeMap<K, bool>, // whether it was in use
+    /// Whether the id was a member when it was suspended.
+    suspended: BTreeMap<K, bool>,
     resumed: BTreeMap<K, Resumed>,
 }
 
@@ -22,33 +23,33 @@
 }
 
 impl<K: Copy + Ord> Suspensions<K> {
-    /// Whether somebody is suspended.
+    /// Returns whether an id is suspended.
     pub fn is_suspended(&self, id: K) -> bool {
         self.suspended.contains_key(&id)
     }
 
-    /// Suspends somebody who was in use, or not.
+    /// Suspends an id; `was_member` is whether it was in use.
     pub fn suspend(&mut self, id: K, was_member: bool) {
         self.suspended.insert(id, was_member);
     }
 
-    /// Resumes somebody.
+    /// Resumes an id.
     pub fn resume(&mut self, id: K, now_ms: f64) {
         let was_member = self.suspended.remove(&id).unwrap_or(false);
         self.resumed.insert(id, Resumed { at_ms: now_ms, was_member });
     }
 
-    /// When somebody was resumed; 0 where that is long ago, or never was.
+    /// Returns the time at which an id was resumed; 0 if that was long ago or never.
     pub fn resumed_at_ms(&self, id: K) -> f64 {
         self.resumed.get(&id).map_or(0.0, |resumed| resumed.at_ms)
     }
 
-    /// Those resumed who had been in use before.
+    /// Returns the resumed ids that were members before.
     pub fn resumed_members(&self) -> impl Iterator<Item = K> {
         self.resumed.iter().filter(|(_, resumed)| resumed.was_member).map(|(&id, _)| id)
     }
 
-    /// Forgets those resumed as long ago as this, or longer.
+    /// Removes the records of ids that were resumed at least `duration_ms` ago.
     pub fn prune_resumed(&mut self, now_ms: f64, duration_ms: f64) {
         self.resumed.retain(|_, resumed| now_ms - resumed.at_ms < duration_ms);
     }
--- a/crates/balancer/src/collections/tests.rs
+++ b/crates/balancer/src/collections/tests.rs
@@ -1,6 +1,10 @@
 //! Unit tests of the collections.
 
-use super::*;
+use super::slot_table::AssignedSlot;
+use super::{
+    ByClass, ByQuota, KeyedQueues, Quota, RingSubset, Slices, SlotTable, Suspensions, TenantQuotas,
+    levels_with_shares, nearest_level, random_pair, ring_window,
+};
 
 #[test]
 fn by_quota_keeps_one_value_per_quota_state() {
@@ -32,7 +36,7 @@
     queues.push(7, 'a');
     queues.push(7, 'b');
     queues.remove(7, 'b');
-    assert_eq!(queues.dispatch(7, 1.0), None, "the head is still out");
+    assert_eq!(queues.dispatch(7, 1.0), None, "the head is still dispatched");
     queues.remove(7, 'a');
     assert_eq!(queues.dispatch(7, 1.0), None);
     assert!(queues.keys().is_empty());
@@ -55,12 +59,12 @@
     let first = table.replace(&["a", "b"], &[None, None]);
     assert_eq!(first.iter().map(|assigned| assigned.slot).collect::<Vec<_>>(), [0, 1]);
     table.acquire(0);
-    // Changed while in use: another slot, which knows where it comes from.
+    // A value that changes while in use gets another slot, with a reference to the old one.
     let second = table.replace(&["c", "b"], &[Some(0), Some(1)]);
     assert_eq!(second, [AssignedSlot { slot: 2, continues: Some(0) }]);
     assert_eq!((table.slot_at(0), table.slot_at(1), table.slot_at(2)), (Some(2), Some(1), None));
     assert_eq!((table[0], table.truncate()), ("a", 3));
-    // Once nobody uses it, the old slot is taken again, and slots behind the last one in use are removed.
+    // Once the old slot is unused it is assigned again, and slots behind the last one in use are removed.
     table.release(0);
     assert_eq!(
         table.replace(&["d", "b"], &[Some(0), Some(1)]),
--- a/crates/balancer/src/stats/mod.rs
+++ b/crates/balancer/src/stats/mod.rs
@@ -1,5 +1,4 @@
-//! Statistics and controllers without thresholds of the policy's own: what they are used with comes from the
-//! policy, call by call.
+//! Statistics and controllers without thresholds of their own: the policy passes these with each call.
 
 mod backoff;
 mod capped_mean;
--- a/crates/balancer/src/stats/prior_mean.rs
+++ b/crates/balancer/src/stats/prior_mean.rs
@@ -1,8 +1,8 @@
-//! A mean that begins at a prior value.
+//! A mean that starts from a prior.
 
 use super::MovingAverage;
 
-/// The mean of the latest samples; as long as there are few, a prior counts for some more.
+/// The mean of the latest samples, in which a prior counts as some more samples while there are few.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PriorMean {
     samples: f64,
@@ -10,22 +10,23 @@
 }
 
 impl PriorMean {
-    /// Starts at a value, without samples.
+    /// Creates a mean with a prior value and without samples.
     pub fn new(prior: f64) -> Self {
         PriorMean { samples: 0.0, mean: MovingAverage::new(prior) }
     }
 
-    /// The mean.
+    /// Returns the mean.
     pub fn value(self) -> f64 {
         self.mean.value()
     }
 
-    /// Samples that the mean covers.
+    /// Returns the number of samples that the mean covers.
     pub fn samples(self) -> f64 {
         self.samples
     }
 
-    /// Takes a sample into a mean over `memory` samples, in which the prior counts as `prior_samples`.
+    /// Adds a sample to a mean over `max_samples` samples, in which the prior counts as `prior_samples`
+    /// samples.
     pub fn record(&mut self, sample: f64, max_samples: f64, prior_samples: f64) {
         self.samples = (self.samples + 1.0).min(max_samples);
         self.mean.update_as_one_of(sample, self.samples + prior_samples);
--- a/crates/balancer/src/stats/tests.rs
+++ b/crates/balancer/src/stats/tests.rs
@@ -1,6 +1,9 @@
 //! Unit tests of the statistics.
 
-use super::*;
+use super::{
+    Backoff, CappedMean, DecayingPeak, LatencyProfile, LoadWindow, MovingAverage, PiController, PriorMean,
+    TimedExclusion, TokenBucket, low_discrepancy_point,
+};
 
 #[test]
 fn a_moving_average_weighs_each_sample() {
@@ -51,7 +54,7 @@
     controller.update(100.0, 1000.0, 1.0, 0.5);
     assert_eq!(controller.output(), 1.0);
     controller.update(0.0, 1000.0, 1.0, 0.5);
-    assert_eq!(controller.output(), 1.0, "the integral has no error to fall for");
+    assert_eq!(controller.output(), 1.0, "without an error the integral stays the same");
     controller.update(-100.0, 1000.0, 1.0, 0.5);
     assert_eq!(controller.output(), 0.0);
 }
@@ -64,7 +67,7 @@
         bucket.try_take()
     };
     assert_eq!((0..5).filter(|_| try_take_at(0.0)).count(), 3);
-    assert!(!try_take_at(499.0), "2 a second earn the next one in 500 ms");
+    assert!(!try_take_at(499.0), "at 2 tokens per second the next one takes 500 ms");
     assert!(try_take_at(500.0));
     assert!(!try_take_at(500.0));
 }
@@ -112,7 +115,7 @@
     exclusion.end();
     assert!(!exclusion.is_active() && !exclusion.began_after(0.0));
     exclusion.extend(200.0, 10.0, 1);
-    assert!(exclusion.is_due(210.0), "the backoff started again");
+    assert!(exclusion.is_due(210.0), "the backoff was reset");
 }
 
 #[test]
