--- a/crates/balancer/examples/reconfigure.rs
+++ b/crates/balancer/examples/reconfigure.rs
@@ -1,8 +1,11 @@
-//! How long it takes to put settings in force, and what 2,400 changes leave behind. Run it alone, in release:
-//! `cargo run --release --locked --example configure`.
+//! Measures how long it takes to replace the settings, and the memory that 2,400 updates leave in use. Run
+//! it alone, in release mode: `cargo run --release --locked -p foldhitch-balancer --example reconfigure`.
 
 use foldhitch_balancer::Balancer;
-use foldhitch_balancer::api::*;
+use foldhitch_balancer::api::{
+    Capabilities, Class, EndpointInfo, EndpointListKind, Event, Idempotency, RequestArrival, Settings,
+    SettingsError, SettingsUpdate, Tenant,
+};
 use std::time::Instant;
 
 const BACKENDS: u32 = 720;
@@ -31,7 +34,7 @@
     }
 }
 
-/// Resident memory in kB.
+/// Returns the resident memory in kB.
 fn resident_memory_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -70,16 +73,13 @@
     }
     let gauges = balancer.gauges();
     durations_us.sort_by(f64::total_cmp);
+    println!("{BACKENDS} backends, {} requests in flight, {} class records", gauges.requests, gauges.classes);
     println!(
-        "{BACKENDS} backends, {} requests in work, {} records of classes",
-        gauges.requests, gauges.classes
-    );
-    println!(
-        "one change, microseconds: median {:.1}, 99 in 100 {:.1}, worst {:.1}",
+        "one update, microseconds: median {:.1}, 99th percentile {:.1}, maximum {:.1}",
         durations_us[UPDATES / 2],
         durations_us[UPDATES * 99 / 100],
         durations_us[UPDATES - 1]
     );
-    println!("resident after {UPDATES} changes: {} kB, before them {before} kB", resident_memory_kb());
+    println!("resident memory after {UPDATES} updates: {} kB, before them {before} kB", resident_memory_kb());
     Ok(())
 }
