--- a/crates/balancer/src/collections/suspensions.rs
+++ b/crates/balancer/src/collections/suspensions.rs
@@ -1,17 +1,18 @@
-//! Who is suspended, and who was resumed not long ago.
+//! Ids that are suspended, and ids that were resumed recently.
 
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone, Copy)]
 struct Resumed {
-    at: f64,
-    was_in_use: bool,
+    at_ms: f64,
+    was_member: bool,
 }
 
-/// The suspended and the resumed, by their ids.
+/// Suspended and recently resumed ids.
 #[derive(Debug)]
 pub struct Suspensions<K> {
-    suspended: BTreeMap<K, bool>, // whether it was in use
+    /// Whether the id was a member when it was suspended.
+    suspended: BTreeMap<K, bool>,
     resumed: BTreeMap<K, Resumed>,
 }
 
@@ -22,34 +23,34 @@
 }
 
 impl<K: Copy + Ord> Suspensions<K> {
-    /// Whether somebody is suspended.
+    /// Returns whether an id is suspended.
     pub fn is_suspended(&self, id: K) -> bool {
         self.suspended.contains_key(&id)
     }
 
-    /// Suspends somebody who was in use, or not.
-    pub fn suspend(&mut self, id: K, was_in_use: bool) {
-        self.suspended.insert(id, was_in_use);
+    /// Suspends an id; `was_member` is whether it was in use.
+    pub fn suspend(&mut self, id: K, was_member: bool) {
+        self.suspended.insert(id, was_member);
     }
 
-    /// Resumes somebody.
-    pub fn resume(&mut self, id: K, now: f64) {
-        let was_in_use = self.suspended.remove(&id).unwrap_or(false);
-        self.resumed.insert(id, Resumed { at: now, was_in_use });
+    /// Resumes an id.
+    pub fn resume(&mut self, id: K, now_ms: f64) {
+        let was_member = self.suspended.remove(&id).unwrap_or(false);
+        self.resumed.insert(id, Resumed { at_ms: now_ms, was_member });
     }
 
-    /// When somebody was resumed; 0 where that is long ago, or never was.
-    pub fn resumed_at(&self, id: K) -> f64 {
-        self.resumed.get(&id).map_or(0.0, |resumed| resumed.at)
+    /// Returns the time at which an id was resumed; 0 if that was long ago or never.
+    pub fn resumed_at_ms(&self, id: K) -> f64 {
+        self.resumed.get(&id).map_or(0.0, |resumed| resumed.at_ms)
     }
 
-    /// Those resumed who had been in use before.
-    pub fn resumed_for_use(&self) -> impl Iterator<Item = K> {
-        self.resumed.iter().filter(|(_, resumed)| resumed.was_in_use).map(|(&id, _)| id)
+    /// Returns the resumed ids that were members before.
+    pub fn resumed_members(&self) -> impl Iterator<Item = K> {
+        self.resumed.iter().filter(|(_, resumed)| resumed.was_member).map(|(&id, _)| id)
     }
 
-    /// Forgets those resumed as long ago as this, or longer.
-    pub fn forget_resumed(&mut self, now: f64, duration: f64) {
-        self.resumed.retain(|_, resumed| now - resumed.at < duration);
+    /// Removes the records of ids that were resumed at least `duration_ms` ago.
+    pub fn prune_resumed(&mut self, now_ms: f64, duration_ms: f64) {
+        self.resumed.retain(|_, resumed| now_ms - resumed.at_ms < duration_ms);
     }
 }
--- a/crates/balancer/src/policy/request_lifecycle.rs
+++ b/crates/balancer/src/policy/request_lifecycle.rs
@@ -1,39 +1,45 @@
-//! The way of a request: arrival, attempts, outcomes, and its one final answer.
+//! The lifecycle of a request: arrival, attempts, outcomes, and exactly one final answer.
 
 use super::Policy;
 use super::state::{Attempt, Call, Request};
-use crate::api::*;
+use crate::api::{
+    Action, AttemptNumber, AttemptResult, DeduplicationScope, Idempotency, Outcome, RequestArrival,
+    RequestId, UnservedReason,
+};
 
 impl Policy {
     pub fn on_request(&mut self, arrival: &RequestArrival) {
         let id = arrival.request;
-        let Some(class) = self.classes.slot_of(arrival.class) else {
+        let Some(class) = self.classes.slot_at(arrival.class) else {
             let reason = UnservedReason::UnknownClass;
             return self.actions.push(Action::Fail { request: id, reason });
         };
-        self.earn_retry();
-        let mut request = self.admit(class, arrival);
+        self.add_retry_tokens();
+        let mut request = self.create_request(class, arrival);
         let slice = self.slices_of_class[class][request.quota];
-        // Behind another request of its key it waits in that key's queue and holds no slot.
+        // A request behind another one of its ordering key waits in the queue of that key and holds no
+        // slot.
         let waits_for_key = request.key != 0 && self.key_queues.push(request.key, id);
         let is_queue_empty = self.slices.slice(slice).queue.is_empty();
         let has_slot = !waits_for_key && is_queue_empty && self.admits(slice);
-        // With a slot but no backend, or behind its key, it waits while an answer can still be in time.
-        let is_patient = has_slot || waits_for_key;
-        let time_to_spare = self.classes[class].latency_objective_ms - self.limit.mean_latency.value();
-        let wait = if is_patient { time_to_spare } else { self.queue_time() };
-        let last_start = arrival.deadline_ms - 2.0 * self.period();
-        request.queue_deadline = (self.now + wait).min(last_start);
+        // With a slot but no backend, or behind its ordering key, a request waits as long as its latency
+        // objective can still be met.
+        let may_wait_until_objective = has_slot || waits_for_key;
+        let time_to_spare_ms = self.classes[class].latency_objective_ms - self.limit.mean_latency.value();
+        let wait = if may_wait_until_objective { time_to_spare_ms } else { self.max_queue_time_ms() };
+        let last_start_ms = arrival.deadline_ms - 2.0 * self.period_ms();
+        request.queue_deadline_ms = (self.now_ms + wait).min(last_start_ms);
         self.requests.insert(id, request);
         self.classes.acquire(class);
-        // What comes too late for any answer, as at the end of a planned stop, only costs a backend work.
-        if has_slot && self.now < arrival.deadline_ms && self.send(id) {
+        // A request past its deadline, as at the end of a planned stop, would only cost a backend work.
+        if has_slot && self.now_ms < arrival.deadline_ms && self.send(id) {
             return;
         }
-        self.limit.is_used |= !is_patient;
-        // A client's last attempt may have less time left than the periodic run takes to come: never queued.
+        self.limit.is_saturated |= !may_wait_until_objective;
+        // A client's last retry may have less time left than the next periodic run takes to come: it is
+        // never queued.
         let is_queue_full = self.slices.queued() as f64 >= self.limit.total();
-        if last_start <= self.now {
+        if last_start_ms <= self.now_ms {
             self.reject_or_fail(id, UnservedReason::DeadlineTooClose);
         } else if !waits_for_key && is_queue_full {
             self.reject_or_fail(id, UnservedReason::QueueFull);
@@ -42,8 +48,8 @@
         }
     }
 
-    /// The record of a request, charged to its tenant.
-    fn admit(&mut self, class: usize, arrival: &RequestArrival) -> Request {
+    /// Creates the record of a request and charges the request to its tenant.
+    fn create_request(&mut self, class: usize, arrival: &RequestArrival) -> Request {
         let (quota, charged_tenant) = self.charge_tenant(usize::from(arrival.tenant));
         Request {
             key: if self.classes[class].is_ordered_by_key { arrival.key } else { 0 },
@@ -51,44 +57,49 @@
             quota,
             charged_tenant,
             max_attempts: self.settings.capabilities.max_attempts,
-            deadline: arrival.deadline_ms,
+            deadline_ms: arrival.deadline_ms,
             is_body_streamed: arrival.is_body_streamed,
             ..Request::default()
         }
     }
 
-    /// Sends the next attempt if a backend can take it.
+    /// Sends the next attempt if a backend can take it; returns whether it was sent.
     pub fn send(&mut self, id: RequestId) -> bool {
-        let Some(selected) = self.select(id) else { return false };
+        let Some(selected) = self.select_backend(id) else { return false };
         let Some(request) = self.requests.get_mut(&id) else { return false };
         let Some(backend) = self.backends.get_mut(&selected) else { return false };
-        backend.slow_start_budget.take(); // means nothing once it is warm
+        // The budget has no effect once the backend is warm.
+        backend.slow_start_budget.take();
         let endpoint = backend.endpoint.clone();
-        let attempt = Attempt { endpoint, sent_at: self.now, is_in_flight: true, ..Attempt::default() };
+        let attempt = Attempt { endpoint, sent_at_ms: self.now_ms, is_in_flight: true, ..Attempt::default() };
         request.attempts.push(attempt);
-        self.actions.push(Action::Send { request: id, backend: selected, expires_at_ms: request.deadline });
+        self.actions.push(Action::Send {
+            request: id,
+            backend: selected,
+            expires_at_ms: request.deadline_ms,
+        });
         if !request.is_body_streamed {
             self.begin_call(id);
         }
         true
     }
 
-    /// The backend begins a request's last attempt: it counts as in flight, and its response is awaited.
+    /// Starts the call of a request's last attempt: it counts as in flight, and a response is due.
     fn begin_call(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let (class, quota) = (request.class, request.quota);
         let attempt = request.attempts.last_mut().filter(|attempt| attempt.is_in_flight);
         let Some(attempt) = attempt else { return };
         let Some(backend) = self.backends.get_mut(&attempt.endpoint.backend) else { return };
-        // Who had no calls in flight owed no response: its silence begins now.
+        // A backend without calls in flight owed no response: its silence begins now.
         if backend.calls.is_empty() {
-            backend.health[None].last_response_at = self.now;
+            backend.health[None].last_response_at_ms = self.now_ms;
         }
         if backend.calls.iter().all(|call| call.class != class) {
-            backend.health[Some(class)].last_response_at = self.now;
+            backend.health[Some(class)].last_response_at_ms = self.now_ms;
         }
-        backend.calls.push_back(Call { request: id, sent_at: self.now, class });
-        attempt.sent_at = self.now;
+        backend.calls.push_back(Call { request: id, sent_at_ms: self.now_ms, class });
+        attempt.sent_at_ms = self.now_ms;
         attempt.holds_limit_slot = !backend.health[None].ejection.is_active();
         if attempt.holds_limit_slot {
             self.slices.begin(self.slices_of_class[class][quota]);
@@ -97,10 +108,11 @@
         }
     }
 
-    /// Until its last byte has come, a request takes none of a backend's work, however slowly it is written.
-    pub fn on_body_received(&mut self, id: RequestId, deadline: f64) {
+    /// Starts the call of a request whose body is complete. Until then the request causes no work at a
+    /// backend, however slowly its body is sent.
+    pub fn on_body_received(&mut self, id: RequestId, deadline_ms: f64) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.deadline = deadline;
+        request.deadline_ms = deadline_ms;
         if std::mem::take(&mut request.is_body_streamed) {
             self.begin_call(id);
         }
@@ -113,42 +125,43 @@
         let Some(attempt) = attempt.filter(|attempt| attempt.is_in_flight) else { return };
         attempt.is_in_flight = false;
         attempt.never_ran = result.outcome.never_ran();
-        let call = Call { request: id, sent_at: attempt.sent_at, class: request.class };
+        let call = Call { request: id, sent_at_ms: attempt.sent_at_ms, class: request.class };
         let held_limit_slot = attempt.holds_limit_slot;
         let quota = request.quota;
         request.is_body_consumed |= result.is_body_consumed;
-        let is_over = result.is_request_closed || request.has_ended;
-        let has_another = request.has_attempt_in_flight();
-        // After these it may still be running: the next one of its key waits until that is settled.
+        let is_finished = result.is_request_closed || request.has_ended;
+        let has_other_attempt = request.has_attempt_in_flight();
+        // After these outcomes the attempt may still be running: its key is quarantined before the next
+        // request is sent.
         if matches!(result.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-            let until = self.now + self.settings.guarantees.key_quarantine_ms;
+            let until = self.now_ms + self.settings.guarantees.key_quarantine_ms;
             self.key_queues.quarantine(request.key, until);
         }
         if held_limit_slot {
-            self.free_slot(call.class, quota);
+            self.release_slot(call.class, quota);
         }
         self.record_outcome(result, call);
-        self.release_idle_connections(result.backend);
-        if is_over {
+        self.close_idle_connections(result.backend);
+        if is_finished {
             self.complete(id);
-        } else if !has_another && !self.retry(id) {
+        } else if !has_other_attempt && !self.retry(id) {
             self.requeue_or_end(id);
         }
     }
 
-    /// Queues a request that never ran again, while there is time and an attempt left: one past the limit
-    /// of attempts would come back unsent for ever.
+    /// Queues a request that never ran again while it has time and an attempt left, and ends it otherwise.
+    /// A request past the attempt limit would be queued again for ever without being sent.
     fn requeue_or_end(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let never_ran = request.possibly_executed_attempt().is_none();
-        if never_ran && self.now < request.queue_deadline && self.has_attempt_left(request) {
+        if never_ran && self.now_ms < request.queue_deadline_ms && self.has_attempt_left(request) {
             self.enqueue(id);
         } else {
             self.reject_or_fail(id, UnservedReason::AttemptsFailed);
         }
     }
 
-    /// Gives the final answer: rejected where a retry by the client is harmless, failed otherwise.
+    /// Gives the final answer: a rejection if a retry by the client is harmless, a failure otherwise.
     pub fn reject_or_fail(&mut self, id: RequestId, reason: UnservedReason) {
         let Some(request) = self.requests.get(&id) else { return };
         let reason = if self.subset.ring().is_empty() { UnservedReason::NoReadyBackend } else { reason };
@@ -168,7 +181,8 @@
         self.complete(id);
     }
 
-    /// Nothing is pending and nothing more is sent; attempts in flight are cancelled where that is allowed.
+    /// Ends a request: nothing is pending and nothing more is sent. Attempts in flight are cancelled if
+    /// that is allowed, and the record is removed once there are none.
     pub fn complete(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let had_ended = std::mem::replace(&mut request.has_ended, true);
@@ -185,15 +199,17 @@
         }
     }
 
-    /// Queues the next request of an ordering key, like any other.
+    /// Queues the next request of an ordering key like any other request.
     fn dispatch_key(&mut self, key: u64) {
-        let next = self.key_queues.dispatch(key, self.now);
+        let next = self.key_queues.dispatch(key, self.now_ms);
         next.into_iter().for_each(|id| self.enqueue(id));
     }
 
-    /// Ends the requests that have waited too long for their key, and lets keys out of quarantine.
+    /// Ends the requests that have waited too long for their key, and dispatches keys whose quarantine is
+    /// over.
     pub fn run_key_queues(&mut self) {
-        let is_overdue = |id: &RequestId| self.requests.get(id).is_some_and(|r| self.now >= r.queue_deadline);
+        let is_overdue =
+            |id: &RequestId| self.requests.get(id).is_some_and(|r| self.now_ms >= r.queue_deadline_ms);
         let overdue: Vec<RequestId> = self.key_queues.waiting().filter(is_overdue).collect();
         for id in overdue {
             self.reject_or_fail(id, UnservedReason::KeyQueueTimeout);
--- a/crates/balancer/src/settings_format.rs
+++ b/crates/balancer/src/settings_format.rs
@@ -1,18 +1,19 @@
-//! The settings' JSON form: on the simulator's wire as text, at a real proxy as a part of its configuration.
+//! The JSON form of the settings: text in the simulator protocol, and a part of the configuration of a real
+//! proxy.
 
 use crate::api;
 use serde::{Deserialize, Deserializer, de::Error};
 
-/// The settings, split by who reads them.
+/// The settings, split by the component that uses them.
 #[derive(Debug, Clone)]
 pub struct ResolvedSettings {
-    /// What the decisions need.
+    /// Settings of the balancer.
     pub balancer: api::Settings,
-    /// What a proxy on real sockets needs beside them.
+    /// Settings that only a proxy with real sockets needs.
     pub site: SiteSettings,
 }
 
-/// Names and figures that no decision needs; empty or 0 where the text leaves them out.
+/// Names and values that no decision depends on; empty or 0 if the text omits them.
 #[derive(Debug, Clone, Default)]
 pub struct SiteSettings {
     /// Names of the classes, in the order of the settings.
@@ -21,32 +22,32 @@
     pub tenant_names: Vec<String>,
     /// Names of the zones.
     pub zone_names: Vec<String>,
-    /// Idle connections are closed by the backend after this, at the latest.
+    /// Time after which backends close idle connections, at the latest.
     pub connection_idle_ms: f64,
-    /// A connection not made by then has failed.
+    /// Time after which a connection that is not established has failed.
     pub connect_timeout_ms: f64,
-    /// Most open requests of an instance.
+    /// Largest number of open requests of an instance.
     pub max_open_requests: usize,
-    /// Time after the notice within which sends to a draining backend must end.
+    /// Time after the notice of a drain within which sending to the backend must end.
     pub drain_deadline_ms: f64,
-    /// The longest client timeout, over all classes.
+    /// Longest client timeout of all classes.
     pub longest_client_timeout_ms: f64,
-    /// The longest latency objective, over all classes.
+    /// Longest latency objective of all classes.
     pub longest_latency_objective_ms: f64,
 }
 
-/// Why a text holds no settings.
+/// Why a text could not be parsed as settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsFormatError {
-    /// A key is missing or holds no such value; the source names its path.
+    /// A key is missing or has an invalid value; the source gives its path.
     #[error("settings: {0}")]
     InvalidKey(#[source] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the settings.
+    /// The settings are followed by other text.
     #[error("settings: {0}")]
     TrailingText(#[source] serde_json::Error),
 }
 
-/// Parses the text; an error names the key.
+/// Parses settings from a text; an error names the key.
 pub fn parse(text: &[u8]) -> Result<ResolvedSettings, SettingsFormatError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let settings = read(&mut json)?;
@@ -54,7 +55,7 @@
     Ok(settings)
 }
 
-/// Reads the object from where it stands; an error names the key.
+/// Reads a settings object from a deserializer; an error names the key.
 pub fn read<'de, D>(from: D) -> Result<ResolvedSettings, SettingsFormatError>
 where
     D: Deserializer<'de, Error = serde_json::Error>,
@@ -64,11 +65,11 @@
     Ok(object.resolve())
 }
 
-/// Reads a figure that must be finite and not negative.
-fn figure<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    let figure = f64::deserialize(from)?;
-    if figure.is_finite() && figure >= 0.0 {
-        Ok(figure)
+/// Reads a number that must be finite and not negative.
+fn non_negative<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    let value = f64::deserialize(from)?;
+    if value.is_finite() && value >= 0.0 {
+        Ok(value)
     } else {
         Err(D::Error::custom("must be finite and not negative"))
     }
@@ -86,9 +87,9 @@
     zone: u16,
     #[serde(rename = "localities", default)]
     zone_names: Vec<String>,
-    #[serde(rename = "tick", deserialize_with = "figure")]
+    #[serde(rename = "tick", deserialize_with = "non_negative")]
     tick_ms: f64,
-    #[serde(rename = "overShareWorth", deserialize_with = "figure")]
+    #[serde(rename = "overShareWorth", deserialize_with = "non_negative")]
     over_quota_weight: f64,
     discovery: DiscoveryObject,
     classes: Vec<ClassObject>,
@@ -115,17 +116,17 @@
 struct ClassObject {
     #[serde(default)]
     name: String,
-    #[serde(rename = "aim", deserialize_with = "figure")]
+    #[serde(rename = "aim", deserialize_with = "non_negative")]
     latency_objective_ms: f64,
-    #[serde(rename = "giveUp", default, deserialize_with = "figure")]
+    #[serde(rename = "giveUp", default, deserialize_with = "non_negative")]
     client_timeout_ms: f64,
-    #[serde(rename = "points", deserialize_with = "figure")]
+    #[serde(rename = "points", deserialize_with = "non_negative")]
     priority_weight: f64,
     #[serde(rename = "semantics")]
     idempotency: IdempotencyObject,
     #[serde(rename = "group")]
     deduplication_scope: DeduplicationScopeObject,
-    #[serde(rename = "window", deserialize_with = "figure")]
+    #[serde(rename = "window", deserialize_with = "non_negative")]
     deduplication_window_ms: f64,
     #[serde(rename = "fifoByKey", default)]
     is_ordered_by_key: bool,
@@ -156,7 +157,7 @@
 struct TenantObject {
     #[serde(default)]
     name: String,
-    #[serde(deserialize_with = "figure")]
+    #[serde(deserialize_with = "non_negative")]
     quota_per_s: f64,
 }
 
@@ -166,47 +167,47 @@
     can_cancel: bool,
     #[serde(rename = "retryAfter")]
     sends_retry_after: bool,
-    #[serde(rename = "maxRetryAfter", deserialize_with = "figure")]
+    #[serde(rename = "maxRetryAfter", deserialize_with = "non_negative")]
     max_retry_after_ms: f64,
     #[serde(rename = "tryLimit")]
     max_attempts: u32,
     #[serde(rename = "openCap", default)]
     max_open_requests: usize,
-    #[serde(rename = "connIdle", default, deserialize_with = "figure")]
+    #[serde(rename = "connIdle", default, deserialize_with = "non_negative")]
     connection_idle_ms: f64,
-    #[serde(rename = "connectTimeout", default, deserialize_with = "figure")]
+    #[serde(rename = "connectTimeout", default, deserialize_with = "non_negative")]
     connect_timeout_ms: f64,
 }
 
 #[derive(Deserialize)]
 struct GuaranteesObject {
-    #[serde(rename = "coldFrom", deserialize_with = "figure")]
+    #[serde(rename = "coldFrom", deserialize_with = "non_negative")]
     initial_capacity_fraction: f64,
-    #[serde(rename = "cold", deserialize_with = "figure")]
+    #[serde(rename = "cold", deserialize_with = "non_negative")]
     warm_up_ms: f64,
-    #[serde(rename = "fallMultiple", deserialize_with = "figure")]
+    #[serde(rename = "fallMultiple", deserialize_with = "non_negative")]
     overload_multiple: f64,
-    #[serde(rename = "askWithin", default, deserialize_with = "figure")]
+    #[serde(rename = "askWithin", default, deserialize_with = "non_negative")]
     poll_within_ms: f64,
-    #[serde(rename = "releaseWithin", default, deserialize_with = "figure")]
+    #[serde(rename = "releaseWithin", default, deserialize_with = "non_negative")]
     idle_release_ms: f64,
-    #[serde(rename = "settleAfterDoubt", default, deserialize_with = "figure")]
+    #[serde(rename = "settleAfterDoubt", default, deserialize_with = "non_negative")]
     key_quarantine_ms: f64,
-    #[serde(rename = "stopSendingWithin", default, deserialize_with = "figure")]
+    #[serde(rename = "stopSendingWithin", default, deserialize_with = "non_negative")]
     drain_deadline_ms: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct ObjectiveObject {
-    #[serde(rename = "worstClass", deserialize_with = "figure")]
+    #[serde(rename = "worstClass", deserialize_with = "non_negative")]
     worst_class_weight: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct PricesObject {
-    #[serde(rename = "crossZone", deserialize_with = "figure")]
+    #[serde(rename = "crossZone", deserialize_with = "non_negative")]
     cross_zone_price: f64,
 }
 
--- a/crates/balancer/src/stats/mod.rs
+++ b/crates/balancer/src/stats/mod.rs
@@ -1,9 +1,8 @@
-//! Statistics and controllers without thresholds of the policy's own: what they are used with comes from the
-//! policy, call by call.
+//! Statistics and controllers without thresholds of their own: the policy passes these with each call.
 
 mod backoff;
 mod capped_mean;
-mod fading_peak;
+mod decaying_peak;
 mod latency_profile;
 mod load_window;
 mod low_discrepancy;
@@ -18,10 +17,10 @@
 
 pub use backoff::Backoff;
 use capped_mean::CappedMean;
-pub use fading_peak::FadingPeak;
+pub use decaying_peak::DecayingPeak;
 pub use latency_profile::LatencyProfile;
 pub use load_window::LoadWindow;
-pub use low_discrepancy::even_phase;
+pub use low_discrepancy::low_discrepancy_point;
 pub use moving_average::MovingAverage;
 pub use pi_controller::PiController;
 pub use prior_mean::PriorMean;
--- a/crates/balancer/src/stats/tests.rs
+++ b/crates/balancer/src/stats/tests.rs
@@ -1,6 +1,9 @@
 //! Unit tests of the statistics.
 
-use super::*;
+use super::{
+    Backoff, CappedMean, DecayingPeak, LatencyProfile, LoadWindow, MovingAverage, PiController, PriorMean,
+    TimedExclusion, TokenBucket, low_discrepancy_point,
+};
 
 #[test]
 fn a_moving_average_weighs_each_sample() {
@@ -9,11 +12,11 @@
     assert_eq!(average.value(), 15.0);
     average.update_as_one_of(0.0, 3.0);
     assert_eq!(average.value(), 10.0);
-    average.fade(1.0, 4.0);
+    average.decay(1.0, 4.0);
     assert_eq!(average.value(), 7.5);
     let mut started = MovingAverage::default();
-    started.start_or_update(8.0, 0.25);
-    started.start_or_update(4.0, 0.25);
+    started.init_or_update(8.0, 0.25);
+    started.init_or_update(4.0, 0.25);
     assert_eq!(started.value(), 7.0);
 }
 
@@ -51,46 +54,46 @@
     controller.update(100.0, 1000.0, 1.0, 0.5);
     assert_eq!(controller.output(), 1.0);
     controller.update(0.0, 1000.0, 1.0, 0.5);
-    assert_eq!(controller.output(), 1.0, "the integral has no error to fall for");
+    assert_eq!(controller.output(), 1.0, "without an error the integral stays the same");
     controller.update(-100.0, 1000.0, 1.0, 0.5);
     assert_eq!(controller.output(), 0.0);
 }
 
 #[test]
-fn a_full_bucket_gives_up_to_its_capacity_and_then_what_it_earns() {
+fn bucket_gives_its_capacity_then_its_refill_rate() {
     let mut bucket = TokenBucket::with_tokens(f64::MAX);
     let mut try_take_at = |now_ms| {
         bucket.refill(now_ms, 2.0, 3.0);
         bucket.try_take()
     };
     assert_eq!((0..5).filter(|_| try_take_at(0.0)).count(), 3);
-    assert!(!try_take_at(499.0), "2 a second earn the next one in 500 ms");
+    assert!(!try_take_at(499.0), "at 2 tokens per second the next one takes 500 ms");
     assert!(try_take_at(500.0));
     assert!(!try_take_at(500.0));
 }
 
 #[test]
-fn a_token_that_is_given_back_can_be_taken_again() {
+fn returned_token_can_be_taken_again() {
     let mut bucket = TokenBucket::with_tokens(1.0);
     assert!(bucket.try_take());
     assert!(!bucket.try_take());
-    bucket.give_back();
+    bucket.return_token();
     assert!(bucket.try_take());
 }
 
 #[test]
-fn a_debt_is_earned_back_first() {
+fn debt_is_repaid_before_a_token_is_available() {
     let mut bucket = TokenBucket::with_tokens(0.5);
     bucket.take();
-    bucket.earn(1.0, 1.0);
+    bucket.add_tokens(1.0, 1.0);
     assert!(!bucket.has_token());
-    bucket.earn(1.0, 1.0);
+    bucket.add_tokens(1.0, 1.0);
     assert!(bucket.has_token());
 }
 
 #[test]
-fn a_peak_fades_until_a_higher_value_comes() {
-    let mut peak = FadingPeak::default();
+fn peak_decays_until_a_higher_value() {
+    let mut peak = DecayingPeak::default();
     peak.record(8.0);
     peak.record(4.0);
     assert_eq!(peak.value(), 8.0);
@@ -112,7 +115,7 @@
     exclusion.end();
     assert!(!exclusion.is_active() && !exclusion.began_after(0.0));
     exclusion.extend(200.0, 10.0, 1);
-    assert!(exclusion.is_due(210.0), "the backoff started again");
+    assert!(exclusion.is_due(210.0), "the backoff was reset");
 }
 
 #[test]
@@ -125,7 +128,7 @@
     profile.record(6.0, 10.0, 6.0, 3.0);
     assert_eq!((profile.mean(), profile.baseline()), (4.0, 3.0));
     assert_eq!([2.0, 80.0].map(|latency| profile.ratio_to_mean(latency, 6.0)), [0.5, 6.0]);
-    profile.creep(0.5);
+    profile.update_baseline(0.5);
     assert_eq!(profile.baseline(), 3.5);
     for _ in 0..10 {
         profile.record(1.0, 10.0, 6.0, 3.0);
@@ -134,21 +137,21 @@
 }
 
 #[test]
-fn a_window_gives_the_mean_latency_by_both_views() {
+fn load_window_gives_the_mean_latency_by_both_views() {
     let mut window = LoadWindow::default();
-    assert_eq!((window.latency_by_load(), window.latency_by_answers()), (0.0, 0.0));
+    assert_eq!((window.latency_by_load(), window.latency_by_responses()), (0.0, 0.0));
     window.advance(100.0, 2.0, 0.5);
-    window.record_answer(1.5);
-    window.record_answer(0.5);
+    window.record_response(1.5);
+    window.record_response(0.5);
     window.drops += 1.0;
     window.timeouts += 1.0;
     assert_eq!((window.elapsed_ms(), window.outcomes()), (100.0, 4.0));
-    assert_eq!((window.latency_by_load(), window.latency_by_answers()), (25.0, 1.0));
-    assert_eq!(window.answers_per_server_ms(), 0.01);
+    assert_eq!((window.latency_by_load(), window.latency_by_responses()), (25.0, 1.0));
+    assert_eq!(window.responses_per_server_ms(), 0.01);
 }
 
 #[test]
-fn a_prior_counts_for_some_samples() {
+fn prior_counts_as_a_fixed_number_of_samples() {
     let mut mean = PriorMean::new(1.0);
     mean.record(6.0, 2.0, 4.0);
     assert_eq!((mean.value(), mean.samples()), (2.0, 1.0));
@@ -159,9 +162,9 @@
 }
 
 #[test]
-fn consecutive_phases_leave_no_large_gap() {
-    let mut phases: Vec<f64> = (0..50).map(|index| even_phase(f64::from(index))).collect();
-    phases.sort_by(f64::total_cmp);
-    let gaps = phases.windows(2).map(|pair| pair[1] - pair[0]);
+fn consecutive_points_leave_no_large_gap() {
+    let mut points: Vec<f64> = (0..50).map(|index| low_discrepancy_point(f64::from(index))).collect();
+    points.sort_by(f64::total_cmp);
+    let gaps = points.windows(2).map(|pair| pair[1] - pair[0]);
     assert!(gaps.fold(0.0, f64::max) < 2.0 / 50.0);
 }
--- a/crates/balancer/tests/protocol_rules.rs
+++ b/crates/balancer/tests/protocol_rules.rs
@@ -75,7 +75,7 @@
                 if let Some(known) = proxy.known_endpoints.get(&changed.backend) {
                     (changed.zone, changed.cell) = (known.zone, known.cell);
                 }
-                changed.phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Gone][rng.usize(..4)];
+                changed.phase = [Phase::Ready, Phase::Ready, Phase::Draining, Phase::Removed][rng.usize(..4)];
                 changed.started_at_ms = if rng.bool() { 0.0 } else { proxy.now_ms - 500.0 * rng.f64() };
                 proxy.update_endpoints(EndpointListKind::Delta, vec![changed]);
             }
--- a/crates/balancer/tests/support/fleet.rs
+++ b/crates/balancer/tests/support/fleet.rs
@@ -356,7 +356,7 @@
         let event = if is_delta {
             let old = &self.lists[version - 1];
             let removed = old.iter().filter(|o| endpoints.iter().all(|n| n.backend != o.backend));
-            let removed = removed.map(|o| EndpointInfo { phase: Phase::Gone, ..o.clone() });
+            let removed = removed.map(|o| EndpointInfo { phase: Phase::Removed, ..o.clone() });
             let changed = endpoints.iter().filter(|n| !old.contains(n)).cloned();
             Event::EndpointList { kind: EndpointListKind::Delta, endpoints: changed.chain(removed).collect() }
         } else {
@@ -585,7 +585,7 @@
     pub fn excess_backend_records(&self, instance_index: usize) -> usize {
         let instance = &self.instances[instance_index];
         let attempts: usize = instance.open_requests.values().map(|record| record.attempts.len()).sum();
-        let known = instance.balancer.as_ref().map_or(0, Balancer::backends_known);
+        let known = instance.balancer.as_ref().map_or(0, Balancer::known_backend_count);
         known.saturating_sub(self.lists[instance.list_version].len() + attempts)
     }
 
--- a/crates/balancer/tests/support/harness.rs
+++ b/crates/balancer/tests/support/harness.rs
@@ -119,7 +119,7 @@
     /// Delivers an endpoint list, and checks that idle connections to draining endpoints are closed.
     pub fn update_endpoints(&mut self, kind: EndpointListKind, endpoints: Vec<EndpointInfo>) {
         if kind != EndpointListKind::Delta && kind != EndpointListKind::Failed {
-            self.known_endpoints.values_mut().for_each(|e| e.phase = Phase::Gone);
+            self.known_endpoints.values_mut().for_each(|e| e.phase = Phase::Removed);
         }
         for endpoint in &endpoints {
             self.known_endpoints.insert(endpoint.backend, endpoint.clone());
--- a/crates/simulator-adapter/src/wire/reader.rs
+++ b/crates/simulator-adapter/src/wire/reader.rs
@@ -108,7 +108,7 @@
         let (offset, field) = (self.offset(), "phase");
         match self.u8(field)? {
             0 => Ok(Phase::Ready),
-            1 => Ok(Phase::Gone),
+            1 => Ok(Phase::Removed),
             2 => Ok(Phase::Draining),
             other => Err(FieldError::UnknownValue { offset, field, value: other.into() }),
         }
