--- a/crates/discovery-client/src/client.rs
+++ b/crates/discovery-client/src/client.rs
@@ -40,7 +40,7 @@
 
 impl PollKind {
     /// The version that the answer must not be older than.
-    pub(crate) fn version(self) -> Option<u64> {
+    pub(crate) fn known_version(self) -> Option<u64> {
         match self {
             PollKind::List => None,
             PollKind::Watch { version, .. } => Some(version),
@@ -48,11 +48,11 @@
     }
 
     /// How long discovery may wait for a change.
-    pub(crate) fn wait(self, timeouts: WatchTimeouts) -> Duration {
+    pub(crate) fn max_wait(self, timeouts: WatchTimeouts) -> Duration {
         match self {
             PollKind::List => Duration::ZERO,
             PollKind::Watch { is_retry: true, .. } => WAIT_AFTER_FAILURE,
-            PollKind::Watch { is_retry: false, .. } => timeouts.watch,
+            PollKind::Watch { is_retry: false, .. } => timeouts.watch_wait,
         }
     }
 }
@@ -61,8 +61,8 @@
 #[derive(Debug, Clone, Copy)]
 enum PollStage {
     Connecting,
-    AwaitingAnswer,
-    ReadingAnswer,
+    AwaitingHead,
+    ReadingBody,
 }
 
 /// How far a poll has come.
@@ -73,25 +73,25 @@
 }
 
 impl PollProgress {
-    fn new(overdue_after: Duration) -> Self {
-        let overdue_at = Instant::now() + overdue_after;
+    fn new(time_limit: Duration) -> Self {
+        let overdue_at = Instant::now() + time_limit;
         PollProgress { stage: Cell::new(PollStage::Connecting), overdue_at: Cell::new(overdue_at) }
     }
 
-    fn enter(&self, stage: PollStage, overdue_after: Duration) {
+    fn enter(&self, stage: PollStage, time_limit: Duration) {
         self.stage.set(stage);
-        self.overdue_at.set(Instant::now() + overdue_after);
+        self.overdue_at.set(Instant::now() + time_limit);
     }
 
     /// Waits until the poll is overdue in the stage that it has come to; returns what is late.
-    pub(crate) async fn overdue(&self, address: SocketAddr) -> DiscoveryError {
+    pub(crate) async fn wait_until_overdue(&self, address: SocketAddr) -> DiscoveryError {
         while Instant::now() < self.overdue_at.get() {
             sleep_until(self.overdue_at.get()).await;
         }
         match self.stage.get() {
             PollStage::Connecting => DiscoveryError::ConnectTimeout { address },
-            PollStage::AwaitingAnswer => DiscoveryError::AnswerTimeout,
-            PollStage::ReadingAnswer => DiscoveryError::IncompleteAnswer,
+            PollStage::AwaitingHead => DiscoveryError::ResponseTimeout,
+            PollStage::ReadingBody => DiscoveryError::BodyTimeout,
         }
     }
 }
@@ -121,7 +121,7 @@
         connection: Option<Connection>,
     ) -> Self {
         let connection = connection.filter(|connection| !connection.is_closed());
-        let progress = Rc::new(PollProgress::new(timeouts.answer));
+        let progress = Rc::new(PollProgress::new(timeouts.response_timeout));
         Poll { address, timeouts, kind, connection, progress }
     }
 
@@ -131,30 +131,30 @@
 
     /// Polls, for as long as discovery takes.
     pub(crate) async fn run(mut self) -> Result<PollAnswer, DiscoveryError> {
-        let wait = self.kind.wait(self.timeouts);
-        let request = self.request(wait)?;
+        let max_wait = self.kind.max_wait(self.timeouts);
+        let request = self.request(max_wait)?;
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => connect(self.address).await?,
         };
-        self.progress.enter(PollStage::AwaitingAnswer, wait + self.timeouts.answer);
+        self.progress.enter(PollStage::AwaitingHead, max_wait + self.timeouts.response_timeout);
         let response = connection.send_request(request).await?;
         if response.status() != StatusCode::OK {
             return Err(DiscoveryError::Status(response.status()));
         }
         // The wait is over once an answer has begun: one that stops short must not cost the whole of it again.
-        self.progress.enter(PollStage::ReadingAnswer, self.timeouts.answer);
+        self.progress.enter(PollStage::ReadingBody, self.timeouts.response_timeout);
         let body = read_body(response).await?;
         let is_reusable = connection.ready().await.is_ok();
-        let response = serde_json::from_slice(&body).map_err(DiscoveryError::List)?;
+        let response = serde_json::from_slice(&body).map_err(DiscoveryError::InvalidList)?;
         Ok(PollAnswer { response, connection: is_reusable.then_some(connection) })
     }
 
-    fn request(&self, wait: Duration) -> Result<Request<Empty<Bytes>>, DiscoveryError> {
+    fn request(&self, max_wait: Duration) -> Result<Request<Empty<Bytes>>, DiscoveryError> {
         let path = match self.kind {
             PollKind::List => "/registry/instances".to_string(),
             PollKind::Watch { version, .. } => {
-                format!("/registry/instances?after={version}&wait_ms={}", wait.as_millis())
+                format!("/registry/instances?after={version}&wait_ms={}", max_wait.as_millis())
             }
         };
         let request = Request::get(path).header(header::HOST, self.address.to_string());
--- a/crates/discovery-client/src/endpoint_list.rs
+++ b/crates/discovery-client/src/endpoint_list.rs
@@ -54,7 +54,7 @@
 
 /// The endpoints of an answer that could be read, and what is wrong with the others.
 #[derive(Debug, Default)]
-pub struct ReadEndpoints {
+pub struct ParsedEndpoints {
     /// Those that could be read.
     pub endpoints: Vec<EndpointRecord>,
     /// Why others could not.
@@ -68,23 +68,23 @@
     }
 
     /// Whether it is the whole list and names nobody.
-    pub(crate) fn names_nobody(&self) -> bool {
+    pub(crate) fn is_empty_full_list(&self) -> bool {
         self.is_complete && self.hosts.is_empty()
     }
 
     /// Checks that it can be the answer to a poll after version `asked`. One older than what it was asked for is
     /// discovery's fault: then the whole list is polled, and that one holds, for discovery may have started anew.
-    pub(crate) fn validate(self, asked: Option<u64>) -> Result<Self, DiscoveryError> {
-        match asked {
-            Some(asked) if self.version < asked => {
-                Err(DiscoveryError::StaleVersion { got: self.version, asked })
+    pub(crate) fn check_version(self, polled: Option<u64>) -> Result<Self, DiscoveryError> {
+        match polled {
+            Some(polled) if self.version < polled => {
+                Err(DiscoveryError::StaleVersion { received: self.version, polled })
             }
             _ => Ok(self),
         }
     }
 
     /// Whether it tells anything.
-    pub(crate) fn has_endpoints(&self) -> bool {
+    pub(crate) fn has_update(&self) -> bool {
         self.is_complete || !self.hosts.is_empty()
     }
 
@@ -94,36 +94,36 @@
     }
 
     /// Reads its endpoints; those that can't be read are skipped.
-    pub fn endpoints(self) -> ReadEndpoints {
-        let mut read = ReadEndpoints::default();
-        let mut skipped = 0;
+    pub fn parse_endpoints(self) -> ParsedEndpoints {
+        let mut parsed = ParsedEndpoints::default();
+        let mut skipped_count = 0;
         for value in self.hosts {
             match EndpointRecord::from_json(&value) {
-                Ok(endpoint) => read.endpoints.push(endpoint),
+                Ok(endpoint) => parsed.endpoints.push(endpoint),
                 Err(example) => {
-                    skipped += 1;
-                    read.skipped = Some(DiscoveryError::SkippedEndpoints { count: skipped, example });
+                    skipped_count += 1;
+                    parsed.skipped = Some(DiscoveryError::SkippedEndpoints { count: skipped_count, example });
                 }
             }
         }
-        read
+        parsed
     }
 }
 
 /// What has to be known of an endpoint that takes no new requests.
 #[derive(Deserialize)]
-struct Withdrawal {
+struct UnavailableEndpoint {
     #[serde(rename = "host")]
     name: String,
     health: HealthState,
 }
 
-impl Withdrawal {
+impl UnavailableEndpoint {
     /// The record of an endpoint that takes no new requests, though nothing else of it can be read.
     fn from_json(value: &serde_json::Value) -> Option<EndpointRecord> {
-        let Withdrawal { name, health } = Self::deserialize(value).ok()?;
-        let is_withdrawn = health != HealthState::Serving;
-        is_withdrawn.then_some(EndpointRecord {
+        let UnavailableEndpoint { name, health } = Self::deserialize(value).ok()?;
+        let is_unavailable = health != HealthState::Serving;
+        is_unavailable.then_some(EndpointRecord {
             name,
             address: None,
             zone: String::new(),
@@ -139,8 +139,8 @@
     fn from_json(value: &serde_json::Value) -> Result<Self, EndpointError> {
         let endpoint = match Self::deserialize(value) {
             Ok(endpoint) => endpoint,
-            Err(source) => Withdrawal::from_json(value)
-                .ok_or_else(|| EndpointError::Unreadable { value: value.to_string(), source })?,
+            Err(source) => UnavailableEndpoint::from_json(value)
+                .ok_or_else(|| EndpointError::Malformed { value: value.to_string(), source })?,
         };
         if endpoint.address.is_none() && endpoint.health == HealthState::Serving {
             return Err(EndpointError::MissingAddress { name: endpoint.name });
--- a/crates/discovery-client/src/error.rs
+++ b/crates/discovery-client/src/error.rs
@@ -29,10 +29,10 @@
     Request(#[from] hyper::http::Error),
     /// No answer came in time.
     #[error("no answer in time")]
-    AnswerTimeout,
+    ResponseTimeout,
     /// An answer began and did not end in time.
     #[error("an answer that stops short")]
-    IncompleteAnswer,
+    BodyTimeout,
     /// The body of an answer could not be read, or is too long.
     #[error("{0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
@@ -41,10 +41,10 @@
     Status(StatusCode),
     /// The answer holds no list.
     #[error("list: {0}")]
-    List(#[source] serde_json::Error),
+    InvalidList(#[source] serde_json::Error),
     /// A list that names nobody while backends serve, and is older than one that was had before.
     #[error("a list that names nobody, the last one stays in use")]
-    EmptyList,
+    StaleEmptyList,
     /// A list that names nobody while backends serve; it holds unless the next one is another.
     #[error("version {version} names nobody, the list is polled again at once")]
     UnconfirmedEmptyList {
@@ -52,18 +52,18 @@
         version: u64,
     },
     /// A list older than the one that the poll named.
-    #[error("version {got} after {asked}, the last list stays in use")]
+    #[error("version {received} after {polled}, the last list stays in use")]
     StaleVersion {
         /// Its version.
-        got: u64,
+        received: u64,
         /// The version that the poll named.
-        asked: u64,
+        polled: u64,
     },
     /// Lists older than one that was had before, for so long that discovery must count its versions anew.
-    #[error("version {got} after {newest} again and again, the whole list is polled and holds as it is")]
+    #[error("version {received} after {newest} again and again, the whole list is polled and holds as it is")]
     RestartedVersions {
         /// The version that is dropped.
-        got: u64,
+        received: u64,
         /// The latest one had before.
         newest: u64,
     },
@@ -82,7 +82,7 @@
 pub enum EndpointError {
     /// A key is missing or holds no such value.
     #[error("{value}: {source}")]
-    Unreadable {
+    Malformed {
         /// The endpoint as it came.
         value: String,
         /// What is wrong with it.
--- a/crates/discovery-client/src/follower.rs
+++ b/crates/discovery-client/src/follower.rs
@@ -1,7 +1,7 @@
 //! Follows discovery for ever.
 
 use crate::client::{Connection, PollKind};
-use crate::endpoint_list::{DiscoveryResponse, EndpointRecord, ReadEndpoints};
+use crate::endpoint_list::{DiscoveryResponse, EndpointRecord, ParsedEndpoints};
 use crate::error::DiscoveryError;
 use crate::outage::{CurrentOutage, PollOutage};
 use crate::poll_gate::PollGate;
@@ -17,7 +17,7 @@
 
 /// A list older than one that was had before is held against it for so long: what a new address has to tell counts
 /// as notified 4 s after the move, and discovery may have started anew.
-const MAX_OLDER_LISTS: Duration = Duration::from_secs(3);
+const VERSION_RESTART_DELAY: Duration = Duration::from_secs(3);
 /// Least time between two polls without a change: a watch goes on if polled within 200 ms.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
@@ -130,33 +130,33 @@
     /// Polls when it may, and waits for what comes of it; none if no poll will be wanted any more.
     async fn next_event(&mut self) -> Option<PollEvent> {
         loop {
-            let is_polling = self.polls.has_current();
+            let is_polling = self.polls.has_current_poll();
             tokio::select! {
                 biased;
-                event = self.polls.next() => return Some(event),
-                is_open = self.gate.open(), if !is_polling => {
+                event = self.polls.next_event() => return Some(event),
+                is_open = self.gate.wait_until_open(), if !is_polling => {
                     if !is_open {
                         return None;
                     }
                 }
             }
-            self.begin_poll();
+            self.start_poll();
         }
     }
 
-    fn begin_poll(&mut self) {
+    fn start_poll(&mut self) {
         let kind = match self.version {
             None => PollKind::List,
             Some(version) => PollKind::Watch { version, is_retry: self.outage.is_some() },
         };
-        self.polls.begin(kind, self.connection.take());
+        self.polls.start(kind, self.connection.take());
     }
 
     fn on_event(&mut self, event: PollEvent) {
         match event {
             PollEvent::Answered(poll) => self.on_answer(poll),
             PollEvent::Failed(error) => {
-                self.believe_unconfirmed();
+                self.apply_unconfirmed();
                 self.on_failure(&error);
             }
         }
@@ -165,10 +165,10 @@
     fn on_answer(&mut self, poll: AnsweredPoll) {
         let AnsweredPoll { answer, kind, polled_at } = poll;
         self.connection = answer.connection;
-        match self.check(answer.response, kind) {
+        match self.check_response(answer.response, kind) {
             Ok(response) => self.confirm_or_apply(ReceivedList { response, kind, polled_at }),
             Err(error) => {
-                self.believe_unconfirmed();
+                self.apply_unconfirmed();
                 self.version = None;
                 self.on_failure(&error);
             }
@@ -176,16 +176,16 @@
     }
 
     /// A list that names nobody while backends serve, and is older than one had before, is discovery's fault.
-    fn check(
+    fn check_response(
         &self,
         response: DiscoveryResponse,
         kind: PollKind,
     ) -> Result<DiscoveryResponse, DiscoveryError> {
         let is_older = response.version() < self.newest_version.get();
-        if is_older && response.names_nobody() && self.observer.has_ready_endpoint() {
-            return Err(DiscoveryError::EmptyList);
+        if is_older && response.is_empty_full_list() && self.observer.has_ready_endpoint() {
+            return Err(DiscoveryError::StaleEmptyList);
         }
-        response.validate(kind.version())
+        response.check_version(kind.known_version())
     }
 
     /// Applies a list, but for one that names nobody while backends serve. What a list doesn't name is gone, and a tier
@@ -193,7 +193,7 @@
     /// once: what comes of that decides.
     fn confirm_or_apply(&mut self, list: ReceivedList) {
         match self.unconfirmed.take() {
-            None if list.response.names_nobody() && self.observer.has_ready_endpoint() => {
+            None if list.response.is_empty_full_list() && self.observer.has_ready_endpoint() => {
                 let version = list.response.version();
                 self.observer.on_warning(&DiscoveryError::UnconfirmedEmptyList { version });
                 self.version = None;
@@ -209,7 +209,7 @@
     }
 
     /// No other list has come: the one that names nobody holds.
-    fn believe_unconfirmed(&mut self) {
+    fn apply_unconfirmed(&mut self) {
         if let Some(list) = self.unconfirmed.take() {
             self.apply(list);
         }
@@ -223,7 +223,7 @@
         self.report_recovery();
         self.observer.on_poll_answered();
         let is_older = version < self.newest_version.get();
-        if is_older && self.has_started_anew(polled_at) {
+        if is_older && self.has_restarted(polled_at) {
             self.restart_versions(version);
             return;
         }
@@ -231,28 +231,28 @@
             self.newest_version.set(version);
             self.older_since = None;
         }
-        let has_endpoints = response.has_endpoints();
-        if has_endpoints {
+        let has_update = response.has_update();
+        if has_update {
             self.notify(response, kind, is_older);
         }
         // Nor is discovery that repeats itself polled without a pause.
-        if (!has_endpoints || is_repeated) && polled_at.elapsed() < MIN_POLL_INTERVAL {
+        if (!has_update || is_repeated) && polled_at.elapsed() < MIN_POLL_INTERVAL {
             self.gate.pause(MIN_POLL_INTERVAL);
         }
     }
 
     /// Whether lists have been older for so long that discovery must have started anew.
-    fn has_started_anew(&mut self, polled_at: Instant) -> bool {
+    fn has_restarted(&mut self, polled_at: Instant) -> bool {
         // How late an answer is says nothing about how long lists have been older.
-        let earliest = Instant::now().checked_sub(self.timeouts.answer).unwrap_or(polled_at);
-        let heard_since = polled_at.max(earliest);
-        self.older_since.get_or_insert(heard_since).elapsed() > MAX_OLDER_LISTS
+        let earliest_start = Instant::now().checked_sub(self.timeouts.response_timeout).unwrap_or(polled_at);
+        let first_older_at = polled_at.max(earliest_start);
+        self.older_since.get_or_insert(first_older_at).elapsed() > VERSION_RESTART_DELAY
     }
 
     /// Discovery counts its versions anew: its whole list, which is polled next, holds as it is.
     fn restart_versions(&mut self, version: u64) {
         let newest = self.newest_version.replace(version);
-        self.observer.on_warning(&DiscoveryError::RestartedVersions { got: version, newest });
+        self.observer.on_warning(&DiscoveryError::RestartedVersions { received: version, newest });
         self.version = None;
         self.older_since = None;
     }
@@ -264,7 +264,7 @@
             PollKind::List => ListOrigin::Poll,
             PollKind::Watch { .. } => ListOrigin::Watch,
         };
-        let ReadEndpoints { endpoints, skipped } = response.endpoints();
+        let ParsedEndpoints { endpoints, skipped } = response.parse_endpoints();
         if let Some(skipped) = skipped {
             self.observer.on_warning(&skipped);
         }
@@ -273,26 +273,26 @@
 
     fn report_recovery(&mut self) {
         let Some(outage) = self.outage.take() else { return };
-        self.observer.on_recovery(outage.ended());
+        self.observer.on_recovery(outage.summary());
     }
 
-    fn note_failure(&mut self, error: &DiscoveryError) {
-        let is_new_kind = self.outage.is_none_or(|outage| outage.is_of_another_kind(error));
+    fn record_failure(&mut self, error: &DiscoveryError) {
+        let is_new_kind = self.outage.is_none_or(|outage| outage.is_different_kind(error));
         if is_new_kind {
             self.observer.on_warning(error);
         }
-        let outage = self.outage.get_or_insert_with(|| CurrentOutage::new(error)).count(error);
+        let outage = self.outage.get_or_insert_with(|| CurrentOutage::new(error)).record_failure(error);
         self.observer.on_outage(outage, error);
     }
 
     fn on_failure(&mut self, error: &DiscoveryError) {
-        self.note_failure(error);
+        self.record_failure(error);
         self.connection = None;
         self.gate.on_failure();
         if self.mode == DiscoveryMode::Poll {
             // The balancer decides when to poll again.
             self.observer.on_poll_failed();
         }
-        self.gate.pause(self.timeouts.pause);
+        self.gate.pause(self.timeouts.failure_pause);
     }
 }
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -11,7 +11,7 @@
 mod polls;
 mod timeouts;
 
-pub use endpoint_list::{DiscoveryResponse, EndpointRecord, HealthState, ReadEndpoints};
+pub use endpoint_list::{DiscoveryResponse, EndpointRecord, HealthState, ParsedEndpoints};
 pub use error::{DiscoveryError, EndpointError};
 pub use follower::{EndpointListUpdate, EndpointObserver, FollowOptions, ListOrigin, follow};
 pub use outage::PollOutage;
--- a/crates/discovery-client/src/outage.rs
+++ b/crates/discovery-client/src/outage.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// An outage is to be logged after so long, and each time it has lasted twice as long.
-const FIRST_OUTAGE_REPORT: Duration = Duration::from_secs(1);
+const FIRST_REPORT_AFTER: Duration = Duration::from_secs(1);
 
 /// Polls that failed in a row.
 #[derive(Debug, Clone, Copy)]
@@ -22,10 +22,10 @@
 /// Polls that fail.
 #[derive(Clone, Copy)]
 pub(crate) struct CurrentOutage {
-    since: Instant,
+    started_at: Instant,
     failed_polls: u32,
     /// The kind of the last failure.
-    last_failure: Discriminant<DiscoveryError>,
+    last_error_kind: Discriminant<DiscoveryError>,
     /// How long it lasts when it is to be logged next.
     next_report_after: Duration,
 }
@@ -34,18 +34,18 @@
     /// Begins now.
     pub(crate) fn new(error: &DiscoveryError) -> Self {
         CurrentOutage {
-            since: Instant::now(),
+            started_at: Instant::now(),
             failed_polls: 0,
-            last_failure: discriminant(error),
-            next_report_after: FIRST_OUTAGE_REPORT,
+            last_error_kind: discriminant(error),
+            next_report_after: FIRST_REPORT_AFTER,
         }
     }
 
     /// Counts a poll that failed.
-    pub(crate) fn count(&mut self, error: &DiscoveryError) -> PollOutage {
+    pub(crate) fn record_failure(&mut self, error: &DiscoveryError) -> PollOutage {
         self.failed_polls += 1;
-        self.last_failure = discriminant(error);
-        let duration = self.since.elapsed();
+        self.last_error_kind = discriminant(error);
+        let duration = self.started_at.elapsed();
         let is_report_due = duration >= self.next_report_after;
         while self.next_report_after <= duration {
             self.next_report_after *= 2;
@@ -54,13 +54,13 @@
     }
 
     /// Whether the last failure was of another kind.
-    pub(crate) fn is_of_another_kind(&self, error: &DiscoveryError) -> bool {
-        self.last_failure != discriminant(error)
+    pub(crate) fn is_different_kind(&self, error: &DiscoveryError) -> bool {
+        self.last_error_kind != discriminant(error)
     }
 
     /// What there is to tell at its end.
-    pub(crate) fn ended(&self) -> PollOutage {
-        let duration = self.since.elapsed();
+    pub(crate) fn summary(&self) -> PollOutage {
+        let duration = self.started_at.elapsed();
         PollOutage { failed_polls: self.failed_polls, duration, is_report_due: true }
     }
 }
--- a/crates/discovery-client/src/overdue_polls.rs
+++ b/crates/discovery-client/src/overdue_polls.rs
@@ -27,7 +27,7 @@
 impl OverduePolls {
     /// Awaits another one that has become overdue, unless it began within `spacing` of the one before. Ends one in the
     /// middle if there are too many.
-    pub(crate) fn keep(&mut self, poll: OverduePoll, spacing: Duration) {
+    pub(crate) fn insert(&mut self, poll: OverduePoll, spacing: Duration) {
         self.polls.retain(|poll| !poll.task.is_finished());
         if self.polls.last().is_some_and(|last| poll.polled_at < last.polled_at + spacing) {
             poll.task.abort();
@@ -35,7 +35,7 @@
         }
         self.polls.push(poll);
         if self.polls.len() > MAX_OVERDUE_POLLS {
-            self.end_closest_to_others();
+            self.abort_closest_to_neighbors();
         }
     }
 
@@ -45,15 +45,15 @@
     }
 
     /// Ends the one whose neighbours are closest to each other, measured by its age.
-    fn end_closest_to_others(&mut self) {
+    fn abort_closest_to_neighbors(&mut self) {
         let now = Instant::now();
-        let gap = |index: usize| {
+        let relative_gap = |index: usize| {
             let between = self.polls[index + 1].polled_at - self.polls[index - 1].polled_at;
             let age = now - self.polls[index].polled_at;
             between.as_secs_f64() / age.as_secs_f64().max(f64::EPSILON)
         };
         let middle = 1..self.polls.len() - 1;
-        if let Some(index) = middle.min_by(|&one, &other| gap(one).total_cmp(&gap(other))) {
+        if let Some(index) = middle.min_by(|&one, &other| relative_gap(one).total_cmp(&relative_gap(other))) {
             self.polls.remove(index).task.abort();
         }
     }
--- a/crates/discovery-client/src/poll_gate.rs
+++ b/crates/discovery-client/src/poll_gate.rs
@@ -22,10 +22,10 @@
     }
 
     /// Waits until a poll may be made; false if none will be any more.
-    pub(crate) async fn open(&mut self) -> bool {
+    pub(crate) async fn wait_until_open(&mut self) -> bool {
         if self.mode == DiscoveryMode::Poll && !self.is_watching {
-            let wanted = self.poll_wanted.wait_for(|is_wanted| *is_wanted).await;
-            if wanted.is_err() {
+            let poll_wanted = self.poll_wanted.wait_for(|is_wanted| *is_wanted).await;
+            if poll_wanted.is_err() {
                 return false;
             }
         }
--- a/crates/discovery-client/src/polls.rs
+++ b/crates/discovery-client/src/polls.rs
@@ -26,8 +26,8 @@
 }
 
 /// A poll's task has ended.
-struct EndedPoll {
-    number: u64,
+struct FinishedPoll {
+    id: u64,
     kind: PollKind,
     polled_at: Instant,
     result: Result<PollAnswer, DiscoveryError>,
@@ -35,7 +35,7 @@
 
 /// The poll that is not overdue.
 struct CurrentPoll {
-    number: u64,
+    id: u64,
     polled_at: Instant,
     progress: Rc<PollProgress>,
     task: AbortHandle,
@@ -48,10 +48,10 @@
 pub(crate) struct Polls {
     address: SocketAddr,
     timeouts: WatchTimeouts,
-    tasks: JoinSet<EndedPoll>,
+    tasks: JoinSet<FinishedPoll>,
     current: Option<CurrentPoll>,
     overdue: OverduePolls,
-    next_number: u64,
+    next_id: u64,
 }
 
 impl Polls {
@@ -62,80 +62,80 @@
             tasks: JoinSet::new(),
             current: None,
             overdue: OverduePolls::default(),
-            next_number: 0,
+            next_id: 0,
         }
     }
 
     /// Whether there is a poll that is not overdue.
-    pub(crate) fn has_current(&self) -> bool {
+    pub(crate) fn has_current_poll(&self) -> bool {
         self.current.is_some()
     }
 
     /// Makes a poll.
-    pub(crate) fn begin(&mut self, kind: PollKind, connection: Option<Connection>) {
-        let number = self.next_number;
-        self.next_number += 1;
+    pub(crate) fn start(&mut self, kind: PollKind, connection: Option<Connection>) {
+        let id = self.next_id;
+        self.next_id += 1;
         let polled_at = Instant::now();
         let poll = Poll::new(self.address, self.timeouts, kind, connection);
         let progress = poll.progress();
-        let longest = kind.wait(self.timeouts) + self.timeouts.overdue_answer;
+        let give_up_after = kind.max_wait(self.timeouts) + self.timeouts.overdue_timeout;
         let task = self.tasks.spawn_local(async move {
-            let result = timeout(longest, poll.run()).await;
-            let result = result.unwrap_or(Err(DiscoveryError::AnswerTimeout));
-            EndedPoll { number, kind, polled_at, result }
+            let result = timeout(give_up_after, poll.run()).await;
+            let result = result.unwrap_or(Err(DiscoveryError::ResponseTimeout));
+            FinishedPoll { id, kind, polled_at, result }
         });
-        self.current = Some(CurrentPoll { number, polled_at, progress, task });
+        self.current = Some(CurrentPoll { id, polled_at, progress, task });
     }
 
     /// Waits for the first answer of any poll, or until the current one fails or is overdue.
-    pub(crate) async fn next(&mut self) -> PollEvent {
+    pub(crate) async fn next_event(&mut self) -> PollEvent {
         loop {
-            let ended = tokio::select! {
+            let finished = tokio::select! {
                 biased;
-                Some(ended) = self.tasks.join_next() => ended,
-                error = overdue(self.address, self.current.as_ref()) => {
-                    self.keep_overdue();
+                Some(finished) = self.tasks.join_next() => finished,
+                error = wait_until_overdue(self.address, self.current.as_ref()) => {
+                    self.move_current_to_overdue();
                     return PollEvent::Failed(error);
                 }
             };
             // One that was ended has nothing to say.
-            if let Some(event) = ended.ok().and_then(|ended| self.on_ended(ended)) {
+            if let Some(event) = finished.ok().and_then(|finished| self.on_finished(finished)) {
                 return event;
             }
         }
     }
 
-    fn on_ended(&mut self, ended: EndedPoll) -> Option<PollEvent> {
-        let EndedPoll { number, kind, polled_at, result } = ended;
+    fn on_finished(&mut self, finished: FinishedPoll) -> Option<PollEvent> {
+        let FinishedPoll { id, kind, polled_at, result } = finished;
         match result {
             Ok(answer) => {
-                self.end_all();
+                self.abort_all();
                 Some(PollEvent::Answered(AnsweredPoll { answer, kind, polled_at }))
             }
             Err(error) => {
-                self.current.take_if(|current| current.number == number)?;
+                self.current.take_if(|current| current.id == id)?;
                 Some(PollEvent::Failed(error))
             }
         }
     }
 
     /// The current poll is overdue. Those that go on began some time apart, so that there are few.
-    fn keep_overdue(&mut self) {
+    fn move_current_to_overdue(&mut self) {
         let Some(current) = self.current.take() else { return };
         let poll = OverduePoll { polled_at: current.polled_at, task: current.task };
-        self.overdue.keep(poll, self.timeouts.overdue_poll_spacing);
+        self.overdue.insert(poll, self.timeouts.overdue_poll_spacing);
     }
 
-    fn end_all(&mut self) {
+    fn abort_all(&mut self) {
         self.tasks = JoinSet::new();
         self.current = None;
         self.overdue.clear();
     }
 }
 
-async fn overdue(address: SocketAddr, current: Option<&CurrentPoll>) -> DiscoveryError {
+async fn wait_until_overdue(address: SocketAddr, current: Option<&CurrentPoll>) -> DiscoveryError {
     match current {
-        Some(current) => current.progress.overdue(address).await,
+        Some(current) => current.progress.wait_until_overdue(address).await,
         None => pending().await,
     }
 }
--- a/crates/discovery-client/src/timeouts.rs
+++ b/crates/discovery-client/src/timeouts.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 /// [`NOTIFICATION_DEADLINE_MS`] in whole milliseconds.
-const NOTIFICATION_DEADLINE: u64 = NOTIFICATION_DEADLINE_MS as u64;
+const DEADLINE_MS: u64 = NOTIFICATION_DEADLINE_MS as u64;
 
 /// An answer that is so late will not come: no call may wait for longer at discovery.
-const LOST_ANSWER: Duration = Duration::from_secs(60);
+const LOST_RESPONSE_AFTER: Duration = Duration::from_secs(60);
 
 /// How long is waited.
 ///
@@ -22,31 +22,31 @@
 pub struct WatchTimeouts {
     /// A watch, for a change. One that fell silent has to be noticed long before what it misses counts as
     /// notified, 6 s later.
-    pub(crate) watch: Duration,
+    pub(crate) watch_wait: Duration,
     /// An answer that is later than its wait by this is overdue, and so is the rest of one that stops for so long:
     /// another poll is made beside it.
-    pub(crate) answer: Duration,
+    pub(crate) response_timeout: Duration,
     /// An answer that is later than its wait by this is not awaited any more: its call must have been lost.
-    pub(crate) overdue_answer: Duration,
+    pub(crate) overdue_timeout: Duration,
     /// Of the polls that are overdue those that go on began so far apart.
     pub(crate) overdue_poll_spacing: Duration,
     /// After a failed poll.
-    pub(crate) pause: Duration,
+    pub(crate) failure_pause: Duration,
 }
 
 impl WatchTimeouts {
     /// Those that suit a drain deadline.
     pub fn new(drain_deadline: Duration) -> Self {
-        let watch = drain_deadline * 2;
-        let answer = drain_deadline / 2;
-        let pause = drain_deadline / 8;
+        let watch_wait = drain_deadline * 2;
+        let response_timeout = drain_deadline / 2;
+        let failure_pause = drain_deadline / 8;
         WatchTimeouts {
-            watch: watch.clamp(Duration::from_millis(200), Duration::from_millis(NOTIFICATION_DEADLINE / 6)),
-            answer: answer
-                .clamp(Duration::from_millis(50), Duration::from_millis(NOTIFICATION_DEADLINE / 12)),
-            overdue_answer: LOST_ANSWER,
-            overdue_poll_spacing: Duration::from_millis(NOTIFICATION_DEADLINE / 6),
-            pause: pause.clamp(Duration::from_millis(5), Duration::from_millis(250)),
+            watch_wait: watch_wait.clamp(Duration::from_millis(200), Duration::from_millis(DEADLINE_MS / 6)),
+            response_timeout: response_timeout
+                .clamp(Duration::from_millis(50), Duration::from_millis(DEADLINE_MS / 12)),
+            overdue_timeout: LOST_RESPONSE_AFTER,
+            overdue_poll_spacing: Duration::from_millis(DEADLINE_MS / 6),
+            failure_pause: failure_pause.clamp(Duration::from_millis(5), Duration::from_millis(250)),
         }
     }
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -14,7 +14,7 @@
 use crate::upstream::{ConnectionPool, PoolLimits};
 use foldhitch_balancer::api::EndpointListKind;
 use foldhitch_discovery_client::{
-    DiscoveryResponse, EndpointListUpdate, EndpointObserver, ListOrigin, ReadEndpoints,
+    DiscoveryResponse, EndpointListUpdate, EndpointObserver, ListOrigin, ParsedEndpoints,
 };
 use std::env;
 use std::io;
@@ -103,7 +103,8 @@
 /// Takes the endpoint list that the configuration brings, until discovery has answered.
 fn apply_known_endpoints(dispatcher: &Rc<Dispatcher>, known: Option<DiscoveryResponse>) {
     let version = known.as_ref().map_or(0, DiscoveryResponse::version);
-    let ReadEndpoints { endpoints, skipped } = known.map(DiscoveryResponse::endpoints).unwrap_or_default();
+    let ParsedEndpoints { endpoints, skipped } =
+        known.map(DiscoveryResponse::parse_endpoints).unwrap_or_default();
     if let Some(skipped) = skipped {
         dispatcher.on_warning(&skipped);
     }
