--- a/crates/discovery-client/tests/slow_answers.rs
+++ b/crates/discovery-client/tests/slow_answers.rs
@@ -37,52 +37,52 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_first_list_is_taken_from_discovery_that_answers_slowly() {
+async fn first_list_is_accepted_from_slow_discovery() {
     for_each_case(&[300, 600, 1000, 1700, 2500], async |is_polled, drain_deadline, delay| {
-        let (listener, address) = listening().await;
-        let calls = late_agent(listener, delay, |_| AgentBehavior::List(7, true, 2));
+        let (listener, address) = bind_listener().await;
+        let calls = slow_discovery(listener, delay, |_| ScriptedAnswer::List(7, true, 2));
         let settings = settings(is_polled, POLL_WITHIN_MS);
         let harness = DiscoveryHarness::follow(address, settings, 1, drain_deadline, false);
-        came(&calls, 1).await;
+        wait_for_calls(&calls, 1).await;
         let first_call = calls.borrow()[0].0;
-        let notified = tokio::time::timeout(NOTIFIED_WITHIN, harness.notified_of(2)).await;
+        let notified = tokio::time::timeout(NOTIFICATION_LIMIT, harness.wait_for_list_of(2)).await;
         let case = format!("polled {is_polled}, drain deadline {drain_deadline:?}, {delay:?}");
         assert!(notified.is_ok(), "{case}: no list after {} calls", calls.borrow().len());
-        assert!(notified.expect("checked") - first_call <= NOTIFIED_WITHIN, "{case}");
+        assert!(notified.expect("checked") - first_call <= NOTIFICATION_LIMIT, "{case}");
     })
     .await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_is_notified_after_a_silent_watch_by_discovery_that_answers_slowly() {
+async fn slow_change_arrives_in_time_after_silent_watch() {
     for_each_case(&[300, 600, 1000, 1700], async |is_polled, drain_deadline, delay| {
-        let (listener, address) = listening().await;
-        let calls = late_agent(listener, delay, |n| match n {
-            0 => AgentBehavior::List(7, true, 1),
-            1 => AgentBehavior::Hang,
-            _ => AgentBehavior::List(8, true, 2),
+        let (listener, address) = bind_listener().await;
+        let calls = slow_discovery(listener, delay, |n| match n {
+            0 => ScriptedAnswer::List(7, true, 1),
+            1 => ScriptedAnswer::NoAnswer,
+            _ => ScriptedAnswer::List(8, true, 2),
         });
         let settings = settings(is_polled, POLL_WITHIN_MS);
         let harness = DiscoveryHarness::follow(address, settings, 1, drain_deadline, true);
-        came(&calls, 2).await;
+        wait_for_calls(&calls, 2).await;
         let silent_since = calls.borrow()[1].0;
-        let notified = tokio::time::timeout(NOTIFIED_WITHIN, harness.notified_of(2)).await;
+        let notified = tokio::time::timeout(NOTIFICATION_LIMIT, harness.wait_for_list_of(2)).await;
         let case = format!("polled {is_polled}, drain deadline {drain_deadline:?}, {delay:?}");
         assert!(notified.is_ok(), "{case}: no change after {} calls", calls.borrow().len());
-        assert!(notified.expect("checked") - silent_since <= NOTIFIED_WITHIN, "{case}");
+        assert!(notified.expect("checked") - silent_since <= NOTIFICATION_LIMIT, "{case}");
     })
     .await;
 }
 
 /// Calls that wait for an answer are bounded: discovery that is unresponsive must not cost a proxy its descriptors.
 #[tokio::test(start_paused = true)]
-async fn few_calls_wait_at_unresponsive_discovery() {
+async fn open_polls_are_bounded_at_unresponsive_discovery() {
     const MAX_WAITING_CALLS: usize = 5;
     for is_polled in [false, true] {
         for drain_deadline in DRAIN_DEADLINES_MS.map(Duration::from_millis) {
-            let work = async {
-                let (listener, address) = listening().await;
-                let open = open_connections(listener);
+            let run = async {
+                let (listener, address) = bind_listener().await;
+                let open = count_open_connections(listener);
                 let settings = settings(is_polled, POLL_WITHIN_MS);
                 DiscoveryHarness::follow(address, settings, 1, drain_deadline, true);
                 let mut most = 0;
@@ -93,22 +93,22 @@
                 assert!(most >= 1, "nobody called");
                 assert!(most <= MAX_WAITING_CALLS, "polled {is_polled}, {drain_deadline:?}: {most}");
             };
-            LocalSet::new().run_until(work).await;
+            LocalSet::new().run_until(run).await;
         }
     }
 }
 
 /// Guards against a list that is never had from discovery that takes longer for it than polls are apart.
 #[tokio::test(start_paused = true)]
-async fn the_list_is_taken_however_long_discovery_takes_for_it() {
+async fn list_is_accepted_after_any_response_delay() {
     for_each_case(&[4_000, 20_000], async |is_polled, drain_deadline, delay| {
-        let (listener, address) = listening().await;
-        let calls = late_agent(listener, delay, |_| AgentBehavior::List(7, true, 2));
+        let (listener, address) = bind_listener().await;
+        let calls = slow_discovery(listener, delay, |_| ScriptedAnswer::List(7, true, 2));
         let settings = settings(is_polled, POLL_WITHIN_MS);
         let harness = DiscoveryHarness::follow(address, settings, 1, drain_deadline, false);
-        came(&calls, 1).await;
-        let term = delay.head + delay.body + NOTIFIED_WITHIN;
-        let notified = tokio::time::timeout(term, harness.notified_of(2)).await;
+        wait_for_calls(&calls, 1).await;
+        let limit = delay.head + delay.body + NOTIFICATION_LIMIT;
+        let notified = tokio::time::timeout(limit, harness.wait_for_list_of(2)).await;
         let case = format!("polled {is_polled}, drain deadline {drain_deadline:?}, {delay:?}");
         assert!(notified.is_ok(), "{case}: no list after {} calls", calls.borrow().len());
     })
@@ -117,19 +117,19 @@
 
 /// Guards against the same behind an outage in which the first calls were lost.
 #[tokio::test(start_paused = true)]
-async fn the_list_is_taken_from_slow_discovery_though_it_lost_the_calls_of_an_outage() {
+async fn list_is_accepted_when_outage_polls_were_lost() {
     const LOST_CALLS: usize = 30;
     for_each_case(&[2_000, 4_000], async |is_polled, drain_deadline, delay| {
-        let (listener, address) = listening().await;
-        let calls = late_agent(listener, delay, |n| match n {
-            0..LOST_CALLS => AgentBehavior::Hang,
-            _ => AgentBehavior::List(7, true, 2),
+        let (listener, address) = bind_listener().await;
+        let calls = slow_discovery(listener, delay, |n| match n {
+            0..LOST_CALLS => ScriptedAnswer::NoAnswer,
+            _ => ScriptedAnswer::List(7, true, 2),
         });
         let settings = settings(is_polled, POLL_WITHIN_MS);
         let harness = DiscoveryHarness::follow(address, settings, 1, drain_deadline, false);
-        came(&calls, LOST_CALLS + 1).await;
-        let term = delay.head + delay.body + NOTIFIED_WITHIN;
-        let notified = tokio::time::timeout(term, harness.notified_of(2)).await;
+        wait_for_calls(&calls, LOST_CALLS + 1).await;
+        let limit = delay.head + delay.body + NOTIFICATION_LIMIT;
+        let notified = tokio::time::timeout(limit, harness.wait_for_list_of(2)).await;
         let case = format!("polled {is_polled}, drain deadline {drain_deadline:?}, {delay:?}");
         assert!(notified.is_ok(), "{case}: no list after {} calls", calls.borrow().len());
     })
@@ -138,19 +138,19 @@
 
 /// Guards against drained backends that an old list brings back since it came late.
 #[tokio::test(start_paused = true)]
-async fn an_older_list_that_comes_late_is_not_taken_for_a_new_discovery() {
+async fn late_older_list_is_not_a_version_restart() {
     for_each_case(&[1_000, 4_000], async |is_polled, drain_deadline, delay| {
-        let (listener, address) = listening().await;
-        late_agent(listener, delay, |n| match n {
-            0 => AgentBehavior::List(7, true, 1),
-            _ => AgentBehavior::List(6, true, 2),
+        let (listener, address) = bind_listener().await;
+        slow_discovery(listener, delay, |n| match n {
+            0 => ScriptedAnswer::List(7, true, 1),
+            _ => ScriptedAnswer::List(6, true, 2),
         });
         let settings = settings(is_polled, POLL_WITHIN_MS);
         let harness = DiscoveryHarness::follow(address, settings, 1, drain_deadline, true);
-        harness.notified_of(2).await;
+        harness.wait_for_list_of(2).await;
         let case = format!("polled {is_polled}, drain deadline {drain_deadline:?}, {delay:?}");
-        let first_older = harness.notified.borrow().iter().position(|(_, entries)| *entries == 2);
-        assert!(harness.are_older.borrow()[first_older.expect("it was notified")], "{case}");
+        let first_older = harness.received_lists.borrow().iter().position(|(_, entries)| *entries == 2);
+        assert!(harness.older_flags.borrow()[first_older.expect("it was notified")], "{case}");
     })
     .await;
 }
--- a/crates/discovery-client/tests/support/mod.rs
+++ b/crates/discovery-client/tests/support/mod.rs
@@ -19,41 +19,43 @@
 use tokio::time::{Instant, sleep};
 
 /// The most that may pass before what discovery has is notified: a sixth of the term is left for a slow machine.
-pub const NOTIFIED_WITHIN: Duration = Duration::from_millis(NOTIFICATION_DEADLINE_MS as u64 / 6 * 5);
+pub const NOTIFICATION_LIMIT: Duration = Duration::from_millis(NOTIFICATION_DEADLINE_MS as u64 / 6 * 5);
 
 /// What the agent does with a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum AgentBehavior {
+pub enum ScriptedAnswer {
     /// Answers with a version, the whole list or not, and so many entries.
     List(u64, bool, usize),
     /// Answers nothing, also not later.
-    Hang,
+    NoAnswer,
     /// Stops in the middle of its answer.
-    Half,
+    Truncated,
     /// Begins its answer and goes on with it without an end.
-    Trickle,
+    EndlessBody,
     /// Answers an error.
-    Fail,
+    ServerError,
     /// Ends the connection.
-    Close,
+    CloseConnection,
 }
 
-impl AgentBehavior {
+impl ScriptedAnswer {
     fn bytes(self) -> Option<String> {
         let body = match self {
-            AgentBehavior::List(seq, whole, hosts) => {
+            ScriptedAnswer::List(seq, whole, hosts) => {
                 let host = r#"{"host":"s","dial":"127.0.0.1:9","health":"SERVING"}"#;
                 format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, vec![host; hosts].join(","))
             }
-            AgentBehavior::Hang => return Some(String::new()),
-            AgentBehavior::Half => {
+            ScriptedAnswer::NoAnswer => return Some(String::new()),
+            ScriptedAnswer::Truncated => {
                 return Some("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{\"seq\":".to_string());
             }
-            AgentBehavior::Trickle => {
+            ScriptedAnswer::EndlessBody => {
                 return Some("HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n{\"seq\":".to_string());
             }
-            AgentBehavior::Fail => return Some("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_string()),
-            AgentBehavior::Close => return None,
+            ScriptedAnswer::ServerError => {
+                return Some("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_string());
+            }
+            ScriptedAnswer::CloseConnection => return None,
         };
         Some(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
     }
@@ -72,34 +74,37 @@
 }
 
 /// An agent that answers its n-th call at once, by the script.
-pub fn agent(listener: TcpListener, script: impl Fn(usize) -> AgentBehavior + 'static) -> Calls {
-    late_agent(listener, AnswerDelay::default(), script)
+pub fn scripted_discovery(
+    listener: TcpListener,
+    script: impl Fn(usize) -> ScriptedAnswer + 'static,
+) -> Calls {
+    slow_discovery(listener, AnswerDelay::default(), script)
 }
 
 /// An agent that answers its n-th call late, by the script.
-pub fn late_agent(
+pub fn slow_discovery(
     listener: TcpListener,
     delay: AnswerDelay,
-    script: impl Fn(usize) -> AgentBehavior + 'static,
+    script: impl Fn(usize) -> ScriptedAnswer + 'static,
 ) -> Calls {
     let (calls, script) = (Calls::default(), Rc::new(script));
-    let came = calls.clone();
+    let recorded = calls.clone();
     spawn_local(async move {
         loop {
             let (mut stream, _) = listener.accept().await.expect("a connection");
             stream.set_nodelay(true).expect("open");
-            let (came, script) = (came.clone(), script.clone());
+            let (recorded, script) = (recorded.clone(), script.clone());
             spawn_local(async move {
-                let mut seen = Vec::new();
-                while stream.read_buf(&mut seen).await.is_ok_and(|n| n > 0) {
-                    if !seen.ends_with(b"\r\n\r\n") {
+                let mut received = Vec::new();
+                while stream.read_buf(&mut received).await.is_ok_and(|n| n > 0) {
+                    if !received.ends_with(b"\r\n\r\n") {
                         continue;
                     }
-                    let text = String::from_utf8(std::mem::take(&mut seen)).expect("text");
+                    let text = String::from_utf8(std::mem::take(&mut received)).expect("text");
                     let path = text.split(' ').nth(1).expect("a path").to_string();
                     let wait = path.split_once("wait_ms=").map_or(0, |(_, ms)| ms.parse().expect("a number"));
-                    came.borrow_mut().push((Instant::now(), path));
-                    let n = came.borrow().len() - 1;
+                    recorded.borrow_mut().push((Instant::now(), path));
+                    let n = recorded.borrow().len() - 1;
                     let Some(answer) = script(n).bytes() else { return };
                     if !delay.head.is_zero() {
                         sleep(Duration::from_millis(wait) + delay.head).await;
@@ -110,7 +115,7 @@
                     let _ = stream.write_all(head.as_bytes()).await;
                     sleep(delay.body).await;
                     let _ = stream.write_all(body.as_bytes()).await;
-                    while script(n) == AgentBehavior::Trickle && stream.write_all(b" ").await.is_ok() {
+                    while script(n) == ScriptedAnswer::EndlessBody && stream.write_all(b" ").await.is_ok() {
                         sleep(Duration::from_millis(10)).await;
                     }
                 }
@@ -123,13 +128,13 @@
 /// A proxy between discovery and the balancer, as the real one fills it.
 pub struct DiscoveryHarness {
     balancer: RefCell<Balancer>,
-    watching: watch::Sender<bool>,
-    ready: bool,
+    poll_wanted: watch::Sender<bool>,
+    has_ready_endpoint: bool,
     start: Instant,
     /// When lists came, and with how many entries.
-    pub notified: RefCell<Vec<(Instant, usize)>>,
+    pub received_lists: RefCell<Vec<(Instant, usize)>>,
     /// Whether each of them was older than one had before.
-    pub are_older: RefCell<Vec<bool>>,
+    pub older_flags: RefCell<Vec<bool>>,
 }
 
 impl DiscoveryHarness {
@@ -139,33 +144,40 @@
         settings: Settings,
         seed: u64,
         drain_deadline: Duration,
-        ready: bool,
+        has_ready_endpoint: bool,
     ) -> Rc<Self> {
         let mode = settings.discovery_mode;
         let balancer = RefCell::new(Balancer::new(settings, seed).expect("settings are sound"));
-        let (watching, wanted) = watch::channel(false);
-        let (start, notified) = (Instant::now(), RefCell::default());
-        let are_older = RefCell::default();
-        let harness = Rc::new(DiscoveryHarness { balancer, watching, ready, start, notified, are_older });
-        harness.tell(Event::EndpointList { kind: EndpointListKind::Cached, endpoints: vec![] });
-        let newest = Rc::<Cell<u64>>::default();
+        let (poll_wanted, poll_requests) = watch::channel(false);
+        let (start, received_lists) = (Instant::now(), RefCell::default());
+        let older_flags = RefCell::default();
+        let harness = Rc::new(DiscoveryHarness {
+            balancer,
+            poll_wanted,
+            has_ready_endpoint,
+            start,
+            received_lists,
+            older_flags,
+        });
+        harness.handle_event(Event::EndpointList { kind: EndpointListKind::Cached, endpoints: vec![] });
+        let newest_version = Rc::<Cell<u64>>::default();
         let timeouts = WatchTimeouts::new(drain_deadline);
-        let options = FollowOptions { address, mode, timeouts, newest_version: newest, poll_wanted: wanted };
+        let options = FollowOptions { address, mode, timeouts, newest_version, poll_wanted: poll_requests };
         spawn_local(follow(harness.clone(), options));
         harness
     }
 
     /// When a list with so many entries is notified first.
-    pub async fn notified_of(&self, entries: usize) -> Instant {
+    pub async fn wait_for_list_of(&self, entries: usize) -> Instant {
         loop {
-            if let Some((at, _)) = self.notified.borrow().iter().find(|(_, n)| *n == entries) {
+            if let Some((at, _)) = self.received_lists.borrow().iter().find(|(_, n)| *n == entries) {
                 return *at;
             }
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    fn tell(self: &Rc<Self>, event: Event) {
+    fn handle_event(self: &Rc<Self>, event: Event) {
         let now = self.start.elapsed().as_secs_f64() * 1000.0;
         let mut actions = Vec::new();
         self.balancer.borrow_mut().handle(now, event, &mut actions);
@@ -175,11 +187,11 @@
                     let harness = self.clone();
                     spawn_local(async move {
                         sleep(Duration::from_secs_f64(delay / 1000.0)).await;
-                        harness.tell(Event::TimerFired { token });
+                        harness.handle_event(Event::TimerFired { token });
                     });
                 }
                 Action::PollEndpoints => {
-                    self.watching.send_replace(true);
+                    self.poll_wanted.send_replace(true);
                 }
                 _ => {}
             }
@@ -189,18 +201,18 @@
 
 impl EndpointObserver for DiscoveryHarness {
     fn has_ready_endpoint(&self) -> bool {
-        self.ready
+        self.has_ready_endpoint
     }
     fn on_endpoint_list(self: &Rc<Self>, update: EndpointListUpdate) {
         let EndpointListUpdate { kind, endpoints, is_older, .. } = update;
         assert!(!endpoints.is_empty() || kind == EndpointListKind::Full);
-        self.notified.borrow_mut().push((Instant::now(), endpoints.len()));
-        self.are_older.borrow_mut().push(is_older);
-        self.tell(Event::EndpointList { kind, endpoints: vec![] });
+        self.received_lists.borrow_mut().push((Instant::now(), endpoints.len()));
+        self.older_flags.borrow_mut().push(is_older);
+        self.handle_event(Event::EndpointList { kind, endpoints: vec![] });
     }
     fn on_poll_failed(self: &Rc<Self>) {
-        self.watching.send_replace(false);
-        self.tell(Event::EndpointList { kind: EndpointListKind::Failed, endpoints: vec![] });
+        self.poll_wanted.send_replace(false);
+        self.handle_event(Event::EndpointList { kind: EndpointListKind::Failed, endpoints: vec![] });
     }
     fn on_warning(&self, _warning: &DiscoveryError) {}
     fn on_recovery(&self, _outage: PollOutage) {}
@@ -219,21 +231,21 @@
     Settings { instance_count: 1, tick_ms: 5.0, discovery_mode, classes, guarantees, ..Settings::default() }
 }
 
-pub async fn listening() -> (TcpListener, SocketAddr) {
+pub async fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     (listener, address)
 }
 
 /// Waits until so many calls have come.
-pub async fn came(calls: &Calls, n: usize) {
+pub async fn wait_for_calls(calls: &Calls, n: usize) {
     while calls.borrow().len() < n {
         sleep(Duration::from_millis(5)).await;
     }
 }
 
 /// Accepts connections and reads them without an answer; how many are open.
-pub fn open_connections(listener: TcpListener) -> Rc<Cell<usize>> {
+pub fn count_open_connections(listener: TcpListener) -> Rc<Cell<usize>> {
     let open = Rc::<Cell<usize>>::default();
     let counted = open.clone();
     spawn_local(async move {
@@ -242,8 +254,8 @@
             counted.set(counted.get() + 1);
             let counted = counted.clone();
             spawn_local(async move {
-                let mut seen = Vec::new();
-                while stream.read_buf(&mut seen).await.is_ok_and(|length| length > 0) {}
+                let mut received = Vec::new();
+                while stream.read_buf(&mut received).await.is_ok_and(|length| length > 0) {}
                 counted.set(counted.get() - 1);
             });
         }
