--- a/crates/proxy/src/discovery_task.rs
+++ b/crates/proxy/src/discovery_task.rs
@@ -2,7 +2,7 @@
 
 use crate::config::reload::{ReloadOutcome, Reloader};
 use crate::dispatcher::{Dispatcher, duration_from_ms};
-use crate::retry::Retry;
+use crate::retry::RetryTimer;
 use foldhitch_discovery_client::{FollowOptions, WatchTimeouts, follow};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     poll_requests: &watch::Receiver<bool>,
 ) -> JoinHandle<()> {
     let settings = dispatcher.settings();
-    dispatcher.follow_discovery_at(address);
+    dispatcher.set_discovery_address(address);
     let options = FollowOptions {
         address,
         mode: settings.balancer.discovery_mode,
@@ -60,7 +60,7 @@
 /// Reads the configuration again on every SIGHUP, also while the program stops: the old address of discovery is about
 /// to fall silent. A file that could not be read is read until it can be, or until the next signal.
 pub async fn follow_reloads(mut reload: Signal, reloader: Reloader, mut discovery: DiscoveryTask) {
-    let mut retry = Retry::none();
+    let mut retry = RetryTimer::idle();
     loop {
         tokio::select! {
             signal = reload.recv() => {
@@ -68,18 +68,18 @@
                     return;
                 }
                 reloader.on_signal();
-                retry = Retry::none();
+                retry = RetryTimer::idle();
             }
-            () = retry.due() => {}
+            () = retry.wait() => {}
         }
         match reloader.reload() {
             ReloadOutcome::Applied { discovery: address } => {
-                retry = Retry::none();
+                retry = RetryTimer::idle();
                 if let Some(address) = address {
                     discovery.restart(address);
                 }
             }
-            ReloadOutcome::Rejected => retry = Retry::none(),
+            ReloadOutcome::Rejected => retry = RetryTimer::idle(),
             ReloadOutcome::TryAgain => retry.schedule(),
         }
     }
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -25,18 +25,18 @@
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             state.balancer.handle(self.clock.now_ms(), event, &mut actions);
-            self.carry_out(state, actions);
+            self.carry_out_actions(state, actions);
         }
     }
 
-    pub(super) fn carry_out(self: &Rc<Self>, state: &mut State, mut actions: Vec<Action>) {
+    pub(super) fn carry_out_actions(self: &Rc<Self>, state: &mut State, mut actions: Vec<Action>) {
         for action in actions.drain(..) {
-            self.act(state, action);
+            self.carry_out_action(state, action);
         }
         state.actions = actions;
     }
 
-    fn act(self: &Rc<Self>, state: &mut State, action: Action) {
+    fn carry_out_action(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Send { request, backend, expires_at_ms } => {
                 self.send(state, request, backend, expires_at_ms);
@@ -84,7 +84,7 @@
         let Some(entry) = state.requests.get_mut(request) else { return };
         let number = entry.attempts.len();
         let max_attempts = self.settings().balancer.capabilities.max_attempts as usize;
-        let client = entry.client().filter(|_| number < max_attempts);
+        let client = entry.send_guard().filter(|_| number < max_attempts);
         let Some((endpoint, client)) = state.endpoints.endpoint(backend).zip(client) else {
             let (outcome, latency) = (Outcome::NotSent, Duration::ZERO);
             let attempt_state = AttemptState::Finished { outcome, latency };
--- a/crates/proxy/src/dispatcher/endpoint_table.rs
+++ b/crates/proxy/src/dispatcher/endpoint_table.rs
@@ -11,7 +11,7 @@
 
 /// A process of a backend, as the list names it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Process {
+struct BackendProcess {
     address: SocketAddr,
     started_at_ms: f64,
 }
@@ -24,7 +24,7 @@
     /// Whether the balancer has it suspended on the operators' word.
     pub(super) is_suspended: bool,
     /// Its process by the list, while it takes requests.
-    process: Option<Process>,
+    process: Option<BackendProcess>,
     /// The start of its process, while that drains by the list.
     draining_process_started_at_ms: Option<f64>,
     /// What is sent to, once it was ready.
@@ -43,12 +43,12 @@
         }
     }
 
-    fn is_known(&self) -> bool {
+    fn is_listed_or_suspended(&self) -> bool {
         self.is_listed || self.is_suspended
     }
 
     /// Nothing new is sent to the backend from now on.
-    fn withdraw(&self, pool: &ConnectionPool) {
+    fn start_draining(&self, pool: &ConnectionPool) {
         let endpoint = self.endpoint.as_ref().filter(|endpoint| !endpoint.is_draining());
         if let Some(endpoint) = endpoint {
             endpoint.draining_since.set(Some(Instant::now()));
@@ -59,14 +59,14 @@
     /// Requests are sent to the process that the list names, unless the backend is suspended. A new process knows
     /// nothing of the old one's connections: where its machine fell silent they look open still, and a request on one
     /// would end as a reset, which may have run.
-    fn renew(&mut self, pool: &ConnectionPool) {
+    fn refresh_endpoint(&mut self, pool: &ConnectionPool) {
         let Some(process) = self.process.filter(|_| !self.is_suspended) else { return };
         let is_current = self.endpoint.as_ref().is_some_and(|endpoint| {
-            let current = Process { address: endpoint.address, started_at_ms: endpoint.started_at_ms };
+            let current = BackendProcess { address: endpoint.address, started_at_ms: endpoint.started_at_ms };
             current == process && !endpoint.is_draining()
         });
         if !is_current {
-            self.withdraw(pool);
+            self.start_draining(pool);
             self.endpoint = Some(Rc::new(pool.endpoint(process.address, process.started_at_ms)));
         }
     }
@@ -87,11 +87,11 @@
         let is_draining = phase == Phase::Draining;
         self.draining_process_started_at_ms = is_draining.then_some(record.started_at_ms);
         let address = record.address.filter(|_| phase == Phase::Ready);
-        self.process = address.map(|address| Process { address, started_at_ms: record.started_at_ms });
+        self.process = address.map(|address| BackendProcess { address, started_at_ms: record.started_at_ms });
         if self.process.is_some() {
-            self.renew(pool);
+            self.refresh_endpoint(pool);
         } else {
-            self.withdraw(pool);
+            self.start_draining(pool);
         }
     }
 }
@@ -128,7 +128,7 @@
     }
 
     fn new_id(&self, name: &str) -> BackendId {
-        let mut id = hash(name) as BackendId;
+        let mut id = hash_str(name) as BackendId;
         while self.endpoints.contains_key(&id) {
             id = id.wrapping_add(1);
         }
@@ -138,7 +138,7 @@
     /// Whether a backend of this name is listed or suspended.
     pub(super) fn contains(&self, name: &str) -> bool {
         let endpoint = self.ids.get(name).and_then(|id| self.endpoints.get(id));
-        endpoint.is_some_and(EndpointEntry::is_known)
+        endpoint.is_some_and(EndpointEntry::is_listed_or_suspended)
     }
 
     pub(super) fn name(&self, id: BackendId) -> Option<&str> {
@@ -176,25 +176,25 @@
         let endpoint = self.endpoints.get_mut(&id)?;
         endpoint.is_suspended = is_suspended;
         if is_suspended {
-            endpoint.withdraw(&self.pool);
+            endpoint.start_draining(&self.pool);
         } else {
-            endpoint.renew(&self.pool);
+            endpoint.refresh_endpoint(&self.pool);
         }
         Some(&endpoint.name)
     }
 
     /// A whole list follows: what it lacks is gone.
-    pub(super) fn begin_full_list(&mut self) {
+    pub(super) fn mark_all_unlisted(&mut self) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.is_listed = false;
         }
     }
 
     /// Withdraws what the list lacked.
-    pub(super) fn end_list(&mut self) {
+    pub(super) fn drain_unlisted(&mut self) {
         for endpoint in self.endpoints.values_mut().filter(|endpoint| !endpoint.is_listed) {
             endpoint.process = None;
-            endpoint.withdraw(&self.pool);
+            endpoint.start_draining(&self.pool);
         }
     }
 
@@ -227,19 +227,19 @@
     }
 
     /// Whether some backends are neither listed nor suspended.
-    pub(super) fn has_unknown(&self) -> bool {
-        !self.endpoints.values().all(EndpointEntry::is_known)
+    pub(super) fn has_stale(&self) -> bool {
+        !self.endpoints.values().all(EndpointEntry::is_listed_or_suspended)
     }
 
     /// Forgets the backends that are neither listed nor suspended nor in use.
-    pub(super) fn remove_unknown(&mut self, in_use: &HashSet<BackendId>) {
+    pub(super) fn remove_stale(&mut self, in_use: &HashSet<BackendId>) {
         let ids = &mut self.ids;
         self.endpoints.retain(|id, endpoint| {
-            let stays = endpoint.is_known() || in_use.contains(id);
-            if !stays {
+            let is_kept = endpoint.is_listed_or_suspended() || in_use.contains(id);
+            if !is_kept {
                 ids.remove(&endpoint.name);
             }
-            stays
+            is_kept
         });
     }
 
@@ -255,7 +255,7 @@
 }
 
 /// A hash of a text.
-pub(super) fn hash(text: &str) -> u64 {
+pub(super) fn hash_str(text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
     hasher.finish()
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -30,7 +30,7 @@
 
 /// The status as the admin API answers with it.
 #[derive(Debug, Serialize)]
-struct StatusAnswer {
+struct StatusResponse {
     address: Option<SocketAddr>,
     list_version: Option<u64>,
     list_age_ms: Option<f64>,
@@ -39,9 +39,9 @@
 }
 
 impl DiscoveryStatus {
-    fn answer(&self) -> StatusAnswer {
+    fn response(&self) -> StatusResponse {
         let age = |at: &Cell<Option<Instant>>| at.get().map(|at| milliseconds(at.elapsed()).round());
-        StatusAnswer {
+        StatusResponse {
             address: self.address.get(),
             list_version: self.list_version.get(),
             list_age_ms: age(&self.list_changed_at),
@@ -53,14 +53,14 @@
 
 impl Dispatcher {
     /// Notes where discovery is polled from now on.
-    pub fn follow_discovery_at(&self, address: SocketAddr) {
+    pub fn set_discovery_address(&self, address: SocketAddr) {
         self.discovery.address.set(Some(address));
         log!("discovery: following {address}");
     }
 
     /// What is known of discovery, as JSON.
     pub fn discovery_json(&self) -> Result<String, serde_json::Error> {
-        serde_json::to_string(&self.discovery.answer())
+        serde_json::to_string(&self.discovery.response())
     }
 
     /// Takes an endpoint list, or changes to it.
@@ -69,14 +69,14 @@
         self.log_endpoint_list(&update);
         let kind = update.kind;
         self.handle(Event::EndpointList { kind, endpoints });
-        self.forget_gone_endpoints();
+        self.remove_stale_endpoints();
     }
 
     /// Logs a version of the list once, however often discovery sends it.
     fn log_endpoint_list(&self, update: &EndpointListUpdate) {
-        let is_sent = update.origin != ListOrigin::Configuration;
-        let version = Some(update.version).filter(|_| is_sent);
-        if is_sent && self.discovery.list_version.replace(version) == version {
+        let is_from_discovery = update.origin != ListOrigin::Configuration;
+        let version = Some(update.version).filter(|_| is_from_discovery);
+        if is_from_discovery && self.discovery.list_version.replace(version) == version {
             return;
         }
         self.discovery.list_changed_at.set(Some(Instant::now()));
@@ -104,7 +104,7 @@
         let state = &mut *self.state.borrow_mut();
         let settings = self.settings();
         if kind != EndpointListKind::Delta {
-            state.endpoints.begin_full_list();
+            state.endpoints.mark_all_unlisted();
         }
         let mut endpoints = Vec::with_capacity(records.len());
         for record in records {
@@ -113,16 +113,16 @@
                 Err(error) => log!("discovery: {error}"),
             }
         }
-        state.endpoints.end_list();
+        state.endpoints.drain_unlisted();
         endpoints
     }
 
     /// Forgets the backends that no list names, once no open request was sent to them: the balancer has forgotten
     /// such a backend too. Where backends are replaced by new ones all day, nothing may grow with their number.
-    pub fn forget_gone_endpoints(&self) {
+    pub fn remove_stale_endpoints(&self) {
         let state = &mut *self.state.borrow_mut();
-        if state.endpoints.has_unknown() {
-            state.endpoints.remove_unknown(&state.requests.backends());
+        if state.endpoints.has_stale() {
+            state.endpoints.remove_stale(&state.requests.backends());
         }
     }
 }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -118,24 +118,24 @@
         let update = SettingsUpdate {
             version,
             settings: settings.balancer.clone(),
-            continued_classes: continued(&old.site.class_names, &settings.site.class_names),
-            continued_tenants: continued(&old.site.tenant_names, &settings.site.tenant_names),
+            continued_classes: previous_indices(&old.site.class_names, &settings.site.class_names),
+            continued_tenants: previous_indices(&old.site.tenant_names, &settings.site.tenant_names),
             content_hash,
         };
         let mut actions = std::mem::take(&mut state.actions);
         let version = state.balancer.configure(self.clock.now_ms(), update, &mut actions)?;
         self.settings.replace(Rc::new(settings));
-        self.carry_out(state, actions);
+        self.carry_out_actions(state, actions);
         self.process_events(state);
         Ok(version)
     }
 
     /// The longest that something takes by the settings in force and by those that pending requests were admitted
     /// under.
-    pub fn longest(&self, takes: impl Fn(&SiteSettings) -> Duration) -> Duration {
+    pub fn max_over_settings(&self, value: impl Fn(&SiteSettings) -> Duration) -> Duration {
         let state = self.state.borrow();
-        let pending = state.requests.pending().map(|entry| takes(&entry.settings.site));
-        pending.fold(takes(&self.settings().site), Duration::max)
+        let pending = state.requests.pending().map(|entry| value(&entry.settings.site));
+        pending.fold(value(&self.settings().site), Duration::max)
     }
 
     /// Whether the proxy drains, and changes of that.
@@ -209,10 +209,10 @@
 }
 
 /// For each new name the place that it had before. Of two alike the first goes on.
-fn continued(old: &[String], new: &[String]) -> Vec<Option<u16>> {
-    let mut places: HashMap<&String, u16> = HashMap::new();
-    for (place, name) in (0..).zip(old) {
-        places.entry(name).or_insert(place);
+fn previous_indices(old: &[String], new: &[String]) -> Vec<Option<u16>> {
+    let mut indices: HashMap<&String, u16> = HashMap::new();
+    for (index, name) in (0..).zip(old) {
+        indices.entry(name).or_insert(index);
     }
-    new.iter().map(|name| places.remove(name)).collect()
+    new.iter().map(|name| indices.remove(name)).collect()
 }
--- a/crates/proxy/src/dispatcher/request_table.rs
+++ b/crates/proxy/src/dispatcher/request_table.rs
@@ -84,7 +84,7 @@
     }
 
     /// What tells an attempt whether it is still wanted; none if no answer is pending.
-    pub(super) fn client(&self) -> Option<WeakSendGuard> {
+    pub(super) fn send_guard(&self) -> Option<WeakSendGuard> {
         match &self.response {
             ResponseSlot::Pending { is_client_connected, .. } => Some(Rc::downgrade(is_client_connected)),
             ResponseSlot::Completed => None,
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -1,6 +1,6 @@
 //! The way of a request through the dispatcher, from its arrival to its one answer.
 
-use super::endpoint_table::hash;
+use super::endpoint_table::hash_str;
 use super::messages::{Answer, IncomingRequest};
 use super::request_table::{RequestEntry, ResponseSlot};
 use super::{Dispatcher, RESPONSE_MARGIN, TIMEOUT_MARGIN};
@@ -21,7 +21,7 @@
         let upload = incoming.request.upload().map(|upload| upload.status().clone());
         let mut arrival = RequestArrival {
             request: 0,
-            key: incoming.ordering_key.as_deref().map_or(0, |key| hash(key).max(1)),
+            key: incoming.ordering_key.as_deref().map_or(0, |key| hash_str(key).max(1)),
             class: incoming.class,
             tenant: incoming.tenant,
             deadline_ms: self.clock.ms_at(incoming.received_at + timeout.saturating_sub(RESPONSE_MARGIN)),
@@ -121,8 +121,8 @@
     /// Whether an answer was pending, which is not any more.
     fn complete(&self) -> bool {
         let state = &mut *self.dispatcher.state.borrow_mut();
-        let end = if self.is_timed_out.get() { "timed out" } else { "client disconnected" };
-        state.log_request(self.request, end);
+        let reason = if self.is_timed_out.get() { "timed out" } else { "client disconnected" };
+        state.log_request(self.request, reason);
         let Some(entry) = state.requests.get_mut(self.request) else { return false };
         let was_pending = entry.is_pending();
         entry.complete();
--- a/crates/proxy/src/dispatcher/tests.rs
+++ b/crates/proxy/src/dispatcher/tests.rs
@@ -65,10 +65,10 @@
 
 /// A stop waits for as long as what was admitted may last by the settings that it was admitted under.
 #[tokio::test]
-async fn a_request_admitted_before_a_change_lasts_as_long_as_then() {
+async fn requests_keep_the_settings_they_were_admitted_under() {
     let (dispatcher, tasks) = (dispatcher(), LocalSet::new());
     let objective = |dispatcher: &Dispatcher| {
-        dispatcher.longest(|site| duration_from_ms(site.longest_latency_objective_ms))
+        dispatcher.max_over_settings(|site| duration_from_ms(site.longest_latency_objective_ms))
     };
     let (long, short) = (Duration::from_secs(1), Duration::from_millis(200));
     let (client, _answer) = oneshot::channel();
@@ -87,14 +87,14 @@
 }
 
 #[test]
-fn a_class_continues_under_its_name_and_of_two_alike_the_first() {
+fn classes_continue_by_name_and_duplicates_once() {
     let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect::<Vec<_>>();
     let (old, new) = (names(&["a", "b", "b"]), names(&["b", "c", "b", "a"]));
-    assert_eq!(continued(&old, &new), [Some(1), None, None, Some(0)]);
+    assert_eq!(previous_indices(&old, &new), [Some(1), None, None, Some(0)]);
 }
 
 #[tokio::test]
-async fn backends_that_are_gone_are_forgotten() {
+async fn unlisted_backends_are_removed_once_unused() {
     let tasks = LocalSet::new();
     tasks
         .run_until(async {
@@ -121,7 +121,7 @@
             dispatcher.update_endpoints(update(EndpointListKind::Full, vec![other]));
             assert_eq!(dispatcher.state.borrow().endpoints.counts().1, 2);
             dispatcher.state.borrow_mut().requests.clear();
-            dispatcher.forget_gone_endpoints();
+            dispatcher.remove_stale_endpoints();
             assert_eq!(dispatcher.state.borrow().endpoints.counts().1, 1);
         })
         .await;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -24,7 +24,7 @@
 use tokio::task::LocalSet;
 
 fn main() -> ExitCode {
-    match run_to_end() {
+    match run_on_runtime() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log!("{error}");
@@ -33,15 +33,15 @@
     }
 }
 
-fn run_to_end() -> Result<(), ProxyError> {
+fn run_on_runtime() -> Result<(), ProxyError> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(ProxyError::Runtime)?;
     LocalSet::new().block_on(&runtime, run())
 }
 
 async fn run() -> Result<(), ProxyError> {
     // Before all else: an earlier signal would end the process.
-    let mut terminate = wait_for_signal("SIGTERM", SignalKind::terminate())?;
-    let reload = wait_for_signal("SIGHUP", SignalKind::hangup())?;
+    let mut terminate = subscribe_to_signal("SIGTERM", SignalKind::terminate())?;
+    let reload = subscribe_to_signal("SIGHUP", SignalKind::hangup())?;
     let (config, known_endpoints) = tokio::select! {
         loaded = startup::load_config() => loaded?,
         _ = terminate.recv() => return Ok(()),
@@ -53,6 +53,6 @@
     shutdown::stop(proxy).await
 }
 
-fn wait_for_signal(name: &'static str, kind: SignalKind) -> Result<Signal, ProxyError> {
+fn subscribe_to_signal(name: &'static str, kind: SignalKind) -> Result<Signal, ProxyError> {
     signal(kind).map_err(|source| ProxyError::Signal { signal: name, source })
 }
--- a/crates/proxy/src/resource_limits.rs
+++ b/crates/proxy/src/resource_limits.rs
@@ -12,7 +12,7 @@
 /// Connections that are left to a process where descriptors are short.
 const MIN_CONNECTIONS: usize = 4;
 /// Connections past the limit that are accepted only to be rejected get this part of the descriptors at the most.
-const REJECTING_DIVISOR: usize = 3;
+const REJECTING_DESCRIPTORS_DIVISOR: usize = 3;
 /// The bodies of open requests may fill one such part of the memory; the rest is for buffers, responses and the program.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
@@ -56,7 +56,7 @@
     }
 
     fn rejecting_connections(&self, processes: usize) -> usize {
-        let share = self.connection_descriptors(processes) / REJECTING_DIVISOR;
+        let share = self.connection_descriptors(processes) / REJECTING_DESCRIPTORS_DIVISOR;
         share.clamp(1, MAX_REJECTING_CONNECTIONS)
     }
 
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -10,15 +10,15 @@
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// The next try of something that has failed, if one is due.
-pub struct Retry {
+pub struct RetryTimer {
     due_at: Option<Instant>,
     next_delay: Duration,
 }
 
-impl Retry {
+impl RetryTimer {
     /// No try is due.
-    pub fn none() -> Self {
-        Retry { due_at: None, next_delay: MIN_RETRY_DELAY }
+    pub fn idle() -> Self {
+        RetryTimer { due_at: None, next_delay: MIN_RETRY_DELAY }
     }
 
     /// It has failed and is to be tried again, each time after a longer delay.
@@ -28,7 +28,7 @@
     }
 
     /// Waits until the next try is due; for ever if none is.
-    pub async fn due(&self) {
+    pub async fn wait(&self) {
         match self.due_at {
             Some(due_at) => sleep_until(due_at).await,
             None => pending().await,
@@ -40,20 +40,20 @@
 pub async fn retry_for<T, E>(
     timeout: Duration,
     attempt: impl Fn() -> Result<T, E>,
-    may_pass: impl Fn(&E) -> bool,
+    is_transient: impl Fn(&E) -> bool,
     on_failure: impl FnOnce(&E),
 ) -> Result<T, E> {
     let give_up_at = Instant::now() + timeout;
-    let mut retry = Retry::none();
+    let mut retry = RetryTimer::idle();
     let mut on_failure = Some(on_failure);
     loop {
         match attempt() {
-            Err(error) if may_pass(&error) && Instant::now() < give_up_at => {
+            Err(error) if is_transient(&error) && Instant::now() < give_up_at => {
                 if let Some(on_failure) = on_failure.take() {
                     on_failure(&error);
                 }
                 retry.schedule();
-                retry.due().await;
+                retry.wait().await;
             }
             ended => return ended,
         }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -12,7 +12,7 @@
 /// After SIGTERM new connections come for so long.
 const ACCEPT_DELAY: Duration = Duration::from_millis(500);
 /// A kill follows SIGTERM no sooner than the longest client timeout, of which no more than this counts ...
-const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_COUNTED_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 /// ... and this: all that was admitted must be answered clearly earlier.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
@@ -29,11 +29,15 @@
     fn new(dispatcher: &Dispatcher) -> Self {
         let client_timeout = |site: &SiteSettings| {
             let timeout = duration_from_ms(site.longest_client_timeout_ms);
-            if timeout.is_zero() { MAX_CLIENT_TIMEOUT } else { timeout.min(MAX_CLIENT_TIMEOUT) }
+            if timeout.is_zero() {
+                MAX_COUNTED_CLIENT_TIMEOUT
+            } else {
+                timeout.min(MAX_COUNTED_CLIENT_TIMEOUT)
+            }
         };
         let objective = |site: &SiteSettings| duration_from_ms(site.longest_latency_objective_ms);
-        let answer_within = dispatcher.longest(client_timeout) + KILL_MARGIN;
-        let keep_connections_for = answer_within.saturating_sub(dispatcher.longest(objective));
+        let answer_within = dispatcher.max_over_settings(client_timeout) + KILL_MARGIN;
+        let keep_connections_for = answer_within.saturating_sub(dispatcher.max_over_settings(objective));
         StopTimes { answer_within, keep_connections_for: keep_connections_for.max(ACCEPT_DELAY) }
     }
 }
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -74,7 +74,7 @@
     };
     let discovery = DiscoveryTask::start(dispatcher.clone(), config.discovery, poll_requests);
     spawn_local(follow_reloads(reload, reloader, discovery));
-    if !wait_until_ready_beside_others(&dispatcher, terminate).await {
+    if !wait_for_endpoint_during_upgrade(&dispatcher, terminate).await {
         return Ok(None);
     }
     let listener = listen("listen", config.listen, admin.is_some()).await?;
@@ -136,7 +136,7 @@
 
 /// Clients that another process serves are not accepted before they can be served here. False if the proxy was told to
 /// stop before.
-async fn wait_until_ready_beside_others(dispatcher: &Dispatcher, terminate: &mut Signal) -> bool {
+async fn wait_for_endpoint_during_upgrade(dispatcher: &Dispatcher, terminate: &mut Signal) -> bool {
     let mut process_count = dispatcher.process_count();
     while *process_count.borrow_and_update() > 1 && !dispatcher.has_ready_endpoint() {
         tokio::select! {
@@ -179,7 +179,7 @@
     loop {
         sleep(MAINTENANCE_INTERVAL).await;
         pool.close_old_idle();
-        dispatcher.forget_gone_endpoints();
+        dispatcher.remove_stale_endpoints();
     }
 }
 
