--- a/crates/proxy/src/dispatcher/tests.rs
+++ b/crates/proxy/src/dispatcher/tests.rs
@@ -1,13 +1,17 @@
 //! Unit tests of the dispatcher.
 
 use super::request_table::{AttemptRecord, AttemptState, RequestEntry, ResponseSlot};
-use super::*;
+use super::{Dispatcher, duration_from_ms, previous_indices};
 use crate::transport::RequestPayload;
-use crate::upstream::{PoolLimits, UpstreamRequest};
+use crate::upstream::{ConnectionPool, PoolLimits, UpstreamRequest};
 use foldhitch_balancer::api::{EndpointListKind, Outcome};
+use foldhitch_balancer::settings_format::ResolvedSettings;
 use foldhitch_discovery_client::{EndpointListUpdate, EndpointRecord, HealthState, ListOrigin};
-use tokio::sync::oneshot;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{oneshot, watch};
 use tokio::task::LocalSet;
+use tokio::time::Instant;
 
 fn settings() -> ResolvedSettings {
     let text = r#"{"slotNo": 0, "peersTotal": 1, "tier": 0, "locality": 0, "localities": ["a"], "tick": 5.0,
