--- a/crates/discovery-client/src/client.rs
+++ b/crates/discovery-client/src/client.rs
@@ -1,4 +1,4 @@
-//! One poll of discovery over a connection that is kept.
+//! A single poll of the discovery service over a keep-alive connection.
 
 use crate::endpoint_list::DiscoveryResponse;
 use crate::error::DiscoveryError;
@@ -16,30 +16,31 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// Longest list.
+/// The maximum size of a response body, in bytes.
 const MAX_LIST_BYTES: usize = 8 << 20;
-/// How long discovery may wait for a change after a failed poll: it is only asked what there is.
+/// The time that discovery may wait for a change after a failed poll: the minimum, so that it returns its
+/// current state at once.
 const WAIT_AFTER_FAILURE: Duration = Duration::from_millis(1);
 
-/// A connection to discovery.
+/// An HTTP/1.1 connection to discovery.
 pub(crate) type Connection = SendRequest<Empty<Bytes>>;
 
-/// What is polled for.
+/// The kind of a poll.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum PollKind {
-    /// The whole list.
+    /// Polls the full list.
     List,
-    /// Changes after a version, for which discovery may wait.
+    /// Watches for changes after a version, for which discovery may hold the request open.
     Watch {
-        /// The version that is held.
+        /// The version of the current list.
         version: u64,
-        /// Whether the poll before failed.
+        /// Whether the previous poll failed.
         is_retry: bool,
     },
 }
 
 impl PollKind {
-    /// The version that the answer must not be older than.
+    /// Returns the version that the response must not be older than.
     pub(crate) fn known_version(self) -> Option<u64> {
         match self {
             PollKind::List => None,
@@ -47,7 +48,7 @@
         }
     }
 
-    /// How long discovery may wait for a change.
+    /// Returns how long discovery may wait for a change.
     pub(crate) fn max_wait(self, timeouts: WatchTimeouts) -> Duration {
         match self {
             PollKind::List => Duration::ZERO,
@@ -57,7 +58,7 @@
     }
 }
 
-/// What a poll waits for.
+/// The stage of a poll in progress.
 #[derive(Debug, Clone, Copy)]
 enum PollStage {
     Connecting,
@@ -65,10 +66,10 @@
     ReadingBody,
 }
 
-/// How far a poll has come.
+/// The progress of a poll.
 pub(crate) struct PollProgress {
     stage: Cell<PollStage>,
-    /// When what it waits for is overdue.
+    /// The time at which the current stage is overdue.
     overdue_at: Cell<Instant>,
 }
 
@@ -83,7 +84,7 @@
         self.overdue_at.set(Instant::now() + time_limit);
     }
 
-    /// Waits until the poll is overdue in the stage that it has come to; returns what is late.
+    /// Waits until the current stage is overdue, and returns the matching timeout error.
     pub(crate) async fn wait_until_overdue(&self, address: SocketAddr) -> DiscoveryError {
         while Instant::now() < self.overdue_at.get() {
             sleep_until(self.overdue_at.get()).await;
@@ -96,7 +97,7 @@
     }
 }
 
-/// A poll that is to be made.
+/// A poll that has not been sent yet.
 pub(crate) struct Poll {
     address: SocketAddr,
     timeouts: WatchTimeouts,
@@ -105,15 +106,15 @@
     progress: Rc<PollProgress>,
 }
 
-/// What a poll was answered.
+/// The response to a poll.
 pub(crate) struct PollAnswer {
     pub(crate) response: DiscoveryResponse,
-    /// For the next poll.
+    /// The connection, if the next poll can use it.
     pub(crate) connection: Option<Connection>,
 }
 
 impl Poll {
-    /// A poll over a connection that is kept, or else over a new one.
+    /// Creates a poll that uses `connection` if it is still open, and a new connection otherwise.
     pub(crate) fn new(
         address: SocketAddr,
         timeouts: WatchTimeouts,
@@ -129,7 +130,7 @@
         self.progress.clone()
     }
 
-    /// Polls, for as long as discovery takes.
+    /// Sends the poll and waits for the response without a time limit.
     pub(crate) async fn run(mut self) -> Result<PollAnswer, DiscoveryError> {
         let max_wait = self.kind.max_wait(self.timeouts);
         let request = self.request(max_wait)?;
@@ -142,7 +143,8 @@
         if response.status() != StatusCode::OK {
             return Err(DiscoveryError::Status(response.status()));
         }
-        // The wait is over once an answer has begun: one that stops short must not cost the whole of it again.
+        // Discovery no longer waits for a change once the response has started, so a stalled body is overdue
+        // without another full wait.
         self.progress.enter(PollStage::ReadingBody, self.timeouts.response_timeout);
         let body = read_body(response).await?;
         let is_reusable = connection.ready().await.is_ok();
@@ -173,7 +175,7 @@
     stream.set_nodelay(true).map_err(|source| DiscoveryError::Connect { address, source })?;
     let (connection, driver) = handshake(TokioIo::new(stream)).await?;
     tokio::task::spawn_local(async move {
-        // Its end shows at the sender.
+        // The request sender reports a closed connection.
         let _ = driver.await;
     });
     Ok(connection)
--- a/crates/discovery-client/src/endpoint_list.rs
+++ b/crates/discovery-client/src/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! What discovery answers: the endpoint list, or changes to it.
+//! The responses of discovery: the endpoint list, or changes to it.
 
 use crate::error::{DiscoveryError, EndpointError};
 use foldhitch_balancer::api::EndpointListKind;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// An answer of discovery.
+/// A response of discovery.
 #[derive(Debug, Deserialize)]
 pub struct DiscoveryResponse {
     #[serde(rename = "seq")]
@@ -15,13 +15,13 @@
     hosts: Vec<serde_json::Value>,
 }
 
-/// An endpoint of the list.
+/// An endpoint in the list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointRecord {
-    /// The backend's name.
+    /// The name of the backend.
     #[serde(rename = "host")]
     pub name: String,
-    /// Its address; one that takes no new requests needs none.
+    /// Its address, which is optional unless the endpoint takes new requests.
     #[serde(rename = "dial")]
     pub address: Option<SocketAddr>,
     /// Its zone.
@@ -30,50 +30,51 @@
     /// Its cell.
     #[serde(rename = "block", default)]
     pub cell: u16,
-    /// Whether it takes new requests.
+    /// Its health state.
     pub health: HealthState,
-    /// Its size beside the others'.
+    /// Its capacity relative to the other endpoints.
     #[serde(rename = "share", default)]
     pub weight: f64,
-    /// When its process started, Unix time in milliseconds; 0 for long ago.
+    /// The start time of its process as Unix time in milliseconds; 0 if it started long ago.
     #[serde(rename = "born_ms", default)]
     pub started_at_ms: f64,
 }
 
-/// Whether a backend takes new requests.
+/// The health state of a backend.
 #[derive(Debug, Deserialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum HealthState {
-    /// Takes requests.
+    /// Takes new requests.
     Serving,
-    /// Finishes its requests.
+    /// Finishes its open requests and takes no new ones.
     Draining,
-    /// Gone.
+    /// Has been removed.
     Deleted,
 }
 
-/// The endpoints of an answer that could be read, and what is wrong with the others.
+/// The endpoints of a response that could be parsed, and an error for the rest.
 #[derive(Debug, Default)]
 pub struct ParsedEndpoints {
-    /// Those that could be read.
+    /// The endpoints that could be parsed.
     pub endpoints: Vec<EndpointRecord>,
-    /// Why others could not.
+    /// The error for the endpoints that could not be parsed, if there are any.
     pub skipped: Option<DiscoveryError>,
 }
 
 impl DiscoveryResponse {
-    /// Discovery's version of the list.
+    /// Returns discovery's version of the list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Whether it is the whole list and names nobody.
+    /// Returns whether this is a full list without endpoints.
     pub(crate) fn is_empty_full_list(&self) -> bool {
         self.is_complete && self.hosts.is_empty()
     }
 
-    /// Checks that it can be the answer to a poll after version `asked`. One older than what it was asked for is
-    /// discovery's fault: then the whole list is polled, and that one holds, for discovery may have started anew.
+    /// Checks that the version is not older than `polled`, the version that the poll named. An older one is a
+    /// fault of discovery. The full list is polled next and accepted as it is, since discovery may have
+    /// restarted.
     pub(crate) fn check_version(self, polled: Option<u64>) -> Result<Self, DiscoveryError> {
         match polled {
             Some(polled) if self.version < polled => {
@@ -83,17 +84,17 @@
         }
     }
 
-    /// Whether it tells anything.
+    /// Returns whether the response changes the list: it is a full list or has at least one endpoint.
     pub(crate) fn has_update(&self) -> bool {
         self.is_complete || !self.hosts.is_empty()
     }
 
-    /// How it relates to the list that is held.
+    /// Returns how the endpoints relate to the current list.
     pub(crate) fn kind(&self) -> EndpointListKind {
         if self.is_complete { EndpointListKind::Full } else { EndpointListKind::Delta }
     }
 
-    /// Reads its endpoints; those that can't be read are skipped.
+    /// Parses the endpoints and skips those that are malformed.
     pub fn parse_endpoints(self) -> ParsedEndpoints {
         let mut parsed = ParsedEndpoints::default();
         let mut skipped_count = 0;
@@ -110,7 +111,7 @@
     }
 }
 
-/// What has to be known of an endpoint that takes no new requests.
+/// The members that are required of an endpoint that takes no new requests.
 #[derive(Deserialize)]
 struct UnavailableEndpoint {
     #[serde(rename = "host")]
@@ -119,7 +120,7 @@
 }
 
 impl UnavailableEndpoint {
-    /// The record of an endpoint that takes no new requests, though nothing else of it can be read.
+    /// Parses an endpoint that takes no new requests, even if its other members are malformed.
     fn from_json(value: &serde_json::Value) -> Option<EndpointRecord> {
         let UnavailableEndpoint { name, health } = Self::deserialize(value).ok()?;
         let is_unavailable = health != HealthState::Serving;
--- a/crates/discovery-client/src/error.rs
+++ b/crates/discovery-client/src/error.rs
@@ -1,97 +1,98 @@
-//! What may go wrong with a poll.
+//! Errors of polls.
 
 use hyper::StatusCode;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a poll failed, or what is wrong with its answer.
+/// An error of a poll, or a warning about its response.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// Discovery could not be connected to.
-    #[error("{address}: {source}")]
+    /// The connection to discovery failed.
+    #[error("cannot connect to {address}: {source}")]
     Connect {
-        /// Where it should be.
+        /// The address of discovery.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A connection was not made in time.
-    #[error("{address}: no connection in time")]
+    /// The connection to discovery was not established in time.
+    #[error("connect timeout for {address}")]
     ConnectTimeout {
-        /// Where discovery should be.
+        /// The address of discovery.
         address: SocketAddr,
     },
-    /// The connection broke, or what came over it is no HTTP.
+    /// The connection broke, or the response is not valid HTTP.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The poll could not be written.
+    /// The request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// No answer came in time.
-    #[error("no answer in time")]
+    /// No response was received in time.
+    #[error("timed out waiting for the response")]
     ResponseTimeout,
-    /// An answer began and did not end in time.
-    #[error("an answer that stops short")]
+    /// The response started and was not completed in time.
+    #[error("timed out reading the response body")]
     BodyTimeout,
-    /// The body of an answer could not be read, or is too long.
-    #[error("{0}")]
+    /// The response body could not be read or is too long.
+    #[error("cannot read the response body: {0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// An answer with another status than 200.
-    #[error("answered {0}")]
+    /// The status of the response is not 200.
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// The answer holds no list.
-    #[error("list: {0}")]
+    /// The response body is not an endpoint list.
+    #[error("invalid endpoint list: {0}")]
     InvalidList(#[source] serde_json::Error),
-    /// A list that names nobody while backends serve, and is older than one that was had before.
-    #[error("a list that names nobody, the last one stays in use")]
+    /// A full list is empty while backends are serving, and older than a list received before.
+    #[error("ignored an empty full list older than one received before; the current list stays in use")]
     StaleEmptyList,
-    /// A list that names nobody while backends serve; it holds unless the next one is another.
-    #[error("version {version} names nobody, the list is polled again at once")]
+    /// A full list is empty while backends are serving. It is applied unless the next poll returns another.
+    #[error("version {version} is an empty full list; polling again at once to confirm it")]
     UnconfirmedEmptyList {
-        /// Its version.
+        /// The version of the list.
         version: u64,
     },
-    /// A list older than the one that the poll named.
-    #[error("version {received} after {polled}, the last list stays in use")]
+    /// The list is older than the version that the poll named.
+    #[error("version {received} is older than the polled version {polled}; the current list stays in use")]
     StaleVersion {
-        /// Its version.
+        /// The version of the received list.
         received: u64,
         /// The version that the poll named.
         polled: u64,
     },
-    /// Lists older than one that was had before, for so long that discovery must count its versions anew.
-    #[error("version {received} after {newest} again and again, the whole list is polled and holds as it is")]
+    /// Lists have been older than one received before for so long that discovery must have restarted its
+    /// version numbers.
+    #[error("version {received} after {newest}: discovery restarted its versions; polling the full list")]
     RestartedVersions {
-        /// The version that is dropped.
+        /// The version of the received list, which is not applied.
         received: u64,
-        /// The latest one had before.
+        /// The newest version received before.
         newest: u64,
     },
-    /// Endpoints that can't be read; the others hold.
-    #[error("{count} entries passed over, such as {example}")]
+    /// Some endpoints of the list are malformed; the others are applied.
+    #[error("skipped {count} malformed endpoints, for example: {example}")]
     SkippedEndpoints {
-        /// How many.
+        /// The number of skipped endpoints.
         count: usize,
-        /// The last of them, and why.
+        /// The error of the last skipped endpoint.
         example: EndpointError,
     },
 }
 
-/// Why an endpoint of a list can't be read.
+/// The reason why an endpoint was skipped.
 #[derive(Debug, thiserror::Error)]
 pub enum EndpointError {
-    /// A key is missing or holds no such value.
+    /// A member is missing or has an invalid value.
     #[error("{value}: {source}")]
     Malformed {
-        /// The endpoint as it came.
+        /// The endpoint as received.
         value: String,
-        /// What is wrong with it.
+        /// The error of the JSON deserializer.
         source: serde_json::Error,
     },
-    /// It takes requests, and has no address.
-    #[error("{name}: no address")]
+    /// The endpoint takes new requests but has no address.
+    #[error("{name}: a serving endpoint needs an address")]
     MissingAddress {
-        /// Its name.
+        /// The name of the endpoint.
         name: String,
     },
 }
--- a/crates/discovery-client/src/follower.rs
+++ b/crates/discovery-client/src/follower.rs
@@ -1,4 +1,4 @@
-//! Follows discovery for ever.
+//! Follows discovery: polls it, checks the responses and passes them to an observer.
 
 use crate::client::{Connection, PollKind};
 use crate::endpoint_list::{DiscoveryResponse, EndpointRecord, ParsedEndpoints};
@@ -15,36 +15,37 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// A list older than one that was had before is held against it for so long: what a new address has to tell counts
-/// as notified 4 s after the move, and discovery may have started anew.
+/// How long lists may be older than one received before until discovery is taken to have restarted its
+/// version numbers. After a move to a new address, what that address reports counts as notified within 4 s,
+/// so this must be shorter.
 const VERSION_RESTART_DELAY: Duration = Duration::from_secs(3);
-/// Least time between two polls without a change: a watch goes on if polled within 200 ms.
+/// The minimum interval between polls without a change. A watch continues if polled again within 200 ms.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Whoever follows discovery is notified of what it answers.
+/// Receives endpoint lists and failures from [`follow`].
 pub trait EndpointObserver {
-    /// Whether some backend takes requests by the list that is held.
+    /// Returns whether at least one backend of the current list takes requests.
     fn has_ready_endpoint(&self) -> bool;
-    /// The endpoint list, or changes to it.
+    /// Called with the endpoint list, or with changes to it.
     fn on_endpoint_list(self: &Rc<Self>, update: EndpointListUpdate);
-    /// A poll failed, where the list has to be polled.
+    /// Called after a failed poll in [`DiscoveryMode::Poll`].
     fn on_poll_failed(self: &Rc<Self>);
-    /// Something to be logged: a failure of another kind than the one before, or endpoints that were skipped.
+    /// Called with a warning to log: a failure of a different kind than the last one, or skipped endpoints.
     fn on_warning(&self, warning: &DiscoveryError);
-    /// A poll was answered after others had failed.
+    /// Called when a poll succeeds after failed ones.
     fn on_recovery(&self, outage: PollOutage);
-    /// A poll was answered with a list that can be used.
+    /// Called when a poll returned a valid response.
     fn on_poll_answered(&self) {}
-    /// A poll failed, and so did those before it.
+    /// Called on each failed poll with the failures since the last successful one.
     fn on_outage(&self, _outage: PollOutage, _error: &DiscoveryError) {}
 }
 
-/// Where a list comes from.
+/// The source of an endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListOrigin {
-    /// The configuration, until discovery has answered.
+    /// The configuration, until discovery has responded.
     Configuration,
-    /// A poll for the whole list.
+    /// A poll for the full list.
     Poll,
     /// A watch for changes.
     Watch,
@@ -53,34 +54,35 @@
 /// The endpoint list, or changes to it.
 #[derive(Debug)]
 pub struct EndpointListUpdate {
-    /// Relation to the list that is held.
+    /// How the endpoints relate to the current list.
     pub kind: EndpointListKind,
-    /// Where it comes from.
+    /// The source of the list.
     pub origin: ListOrigin,
     /// Discovery's version of the list.
     pub version: u64,
-    /// Its endpoints.
+    /// The endpoints.
     pub endpoints: Vec<EndpointRecord>,
-    /// An older list than one that was had before takes backends out like any other, but brings none back.
+    /// Whether the list is older than one received before. Such a list may take backends out of service, but
+    /// brings none back.
     pub is_older: bool,
 }
 
-/// What is followed, and how.
+/// The options of [`follow`].
 pub struct FollowOptions {
-    /// Where discovery, or its agent, answers.
+    /// The address of discovery or of its agent.
     pub address: SocketAddr,
     /// Whether the list is pushed or polled.
     pub mode: DiscoveryMode,
-    /// How long is waited.
+    /// The timeouts of polls and watches.
     pub timeouts: WatchTimeouts,
-    /// The latest version had from any address.
+    /// The newest version received from any address.
     pub newest_version: Rc<Cell<u64>>,
-    /// Where the list is polled: whether a poll is wanted.
+    /// Whether the balancer wants a poll; used in [`DiscoveryMode::Poll`] only.
     pub poll_wanted: watch::Receiver<bool>,
 }
 
-/// Follows discovery for ever. Where the list has to be polled, it does so when that is wanted and reports
-/// failures; elsewhere it watches all the time.
+/// Follows discovery. In [`DiscoveryMode::Poll`] it polls when the balancer wants it, reports failures, and
+/// returns once the sender of `poll_wanted` is dropped; otherwise it watches all the time and never returns.
 pub async fn follow(observer: Rc<impl EndpointObserver>, options: FollowOptions) {
     let mut follower = Follower {
         observer,
@@ -106,20 +108,20 @@
     timeouts: WatchTimeouts,
     polls: Polls,
     gate: PollGate,
-    /// The latest version had from any address.
+    /// The newest version received from any address.
     newest_version: Rc<Cell<u64>>,
-    /// For the next poll.
+    /// The connection for the next poll.
     connection: Option<Connection>,
-    /// The version that is held from this address.
+    /// The version of the current list from this address, if there is one.
     version: Option<u64>,
     outage: Option<CurrentOutage>,
-    /// Since when lists are older than one that was had before.
+    /// The time since which lists have been older than one received before.
     older_since: Option<Instant>,
-    /// A list that names nobody, until the next poll has ended.
+    /// An empty full list that the next poll is to confirm.
     unconfirmed: Option<ReceivedList>,
 }
 
-/// A list as it was received.
+/// A response, the kind of its poll and the time at which the poll was sent.
 struct ReceivedList {
     response: DiscoveryResponse,
     kind: PollKind,
@@ -127,7 +129,8 @@
 }
 
 impl<O: EndpointObserver> Follower<O> {
-    /// Polls when it may, and waits for what comes of it; none if no poll will be wanted any more.
+    /// Polls once the gate is open and waits for the result. Returns `None` if no poll will be wanted any
+    /// more.
     async fn next_event(&mut self) -> Option<PollEvent> {
         loop {
             let is_polling = self.polls.has_current_poll();
@@ -175,7 +178,8 @@
         }
     }
 
-    /// A list that names nobody while backends serve, and is older than one had before, is discovery's fault.
+    /// Rejects a list that is older than the version that the poll named, and an empty full list that is
+    /// older than one received before while backends are serving. Both are faults of discovery.
     fn check_response(
         &self,
         response: DiscoveryResponse,
@@ -188,9 +192,9 @@
         response.check_version(kind.known_version())
     }
 
-    /// Applies a list, but for one that names nobody while backends serve. What a list doesn't name is gone, and a tier
-    /// may drain altogether; discovery that has just started may have no list yet. So the list is polled once more, at
-    /// once: what comes of that decides.
+    /// Applies a list, unless it is an empty full list while backends are serving. A full list removes the
+    /// backends that it lacks, and a whole tier may drain; but discovery that has just started may not have
+    /// its list yet. Such a list is therefore polled once more, at once, and the result of that poll decides.
     fn confirm_or_apply(&mut self, list: ReceivedList) {
         match self.unconfirmed.take() {
             None if list.response.is_empty_full_list() && self.observer.has_ready_endpoint() => {
@@ -208,7 +212,7 @@
         }
     }
 
-    /// No other list has come: the one that names nobody holds.
+    /// Applies the unconfirmed list, since no other list was received.
     fn apply_unconfirmed(&mut self) {
         if let Some(list) = self.unconfirmed.take() {
             self.apply(list);
@@ -235,21 +239,22 @@
         if has_update {
             self.notify(response, kind, is_older);
         }
-        // Nor is discovery that repeats itself polled without a pause.
+        // Avoids polling in a tight loop when nothing has changed or discovery repeats a version.
         if (!has_update || is_repeated) && polled_at.elapsed() < MIN_POLL_INTERVAL {
             self.gate.pause(MIN_POLL_INTERVAL);
         }
     }
 
-    /// Whether lists have been older for so long that discovery must have started anew.
+    /// Returns whether lists have been older for so long that discovery must have restarted.
     fn has_restarted(&mut self, polled_at: Instant) -> bool {
-        // How late an answer is says nothing about how long lists have been older.
+        // The delay of a slow response does not count as time during which lists have been older.
         let earliest_start = Instant::now().checked_sub(self.timeouts.response_timeout).unwrap_or(polled_at);
         let first_older_at = polled_at.max(earliest_start);
         self.older_since.get_or_insert(first_older_at).elapsed() > VERSION_RESTART_DELAY
     }
 
-    /// Discovery counts its versions anew: its whole list, which is polled next, holds as it is.
+    /// Accepts that discovery has restarted its version numbers. The full list, which is polled next, is
+    /// applied as it is.
     fn restart_versions(&mut self, version: u64) {
         let newest = self.newest_version.replace(version);
         self.observer.on_warning(&DiscoveryError::RestartedVersions { received: version, newest });
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -1,5 +1,5 @@
-//! A client of discovery: polls for the endpoint list, and watches it for changes. The proxy follows discovery by
-//! it, and so does the scale test, whose simulated proxies are to make the same calls.
+//! A client of the discovery service that polls the endpoint list and watches it for changes. The proxy
+//! follows discovery with it, and so does the scale test, whose simulated proxies must make the same calls.
 
 mod client;
 mod endpoint_list;
--- a/crates/discovery-client/src/outage.rs
+++ b/crates/discovery-client/src/outage.rs
@@ -1,37 +1,37 @@
-//! Polls that fail in a row, and when that is to be logged.
+//! Outages of discovery: consecutive failed polls, and when to log them.
 
 use crate::error::DiscoveryError;
 use std::mem::{Discriminant, discriminant};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An outage is to be logged after so long, and each time it has lasted twice as long.
+/// An outage is logged after this time, and again each time its duration has doubled.
 const FIRST_REPORT_AFTER: Duration = Duration::from_secs(1);
 
-/// Polls that failed in a row.
+/// A summary of consecutive failed polls.
 #[derive(Debug, Clone, Copy)]
 pub struct PollOutage {
-    /// How many.
+    /// The number of failed polls.
     pub failed_polls: u32,
-    /// From the first failure until now.
+    /// The time since the first failure.
     pub duration: Duration,
-    /// Whether the outage has lasted for so long that it is to be logged again.
+    /// Whether the outage is due to be logged.
     pub is_report_due: bool,
 }
 
-/// Polls that fail.
+/// The current series of failed polls.
 #[derive(Clone, Copy)]
 pub(crate) struct CurrentOutage {
     started_at: Instant,
     failed_polls: u32,
-    /// The kind of the last failure.
+    /// The variant of the last error.
     last_error_kind: Discriminant<DiscoveryError>,
-    /// How long it lasts when it is to be logged next.
+    /// The duration after which the outage is logged next.
     next_report_after: Duration,
 }
 
 impl CurrentOutage {
-    /// Begins now.
+    /// Starts an outage now, without a counted failure.
     pub(crate) fn new(error: &DiscoveryError) -> Self {
         CurrentOutage {
             started_at: Instant::now(),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Counts a poll that failed.
+    /// Counts a failed poll.
     pub(crate) fn record_failure(&mut self, error: &DiscoveryError) -> PollOutage {
         self.failed_polls += 1;
         self.last_error_kind = discriminant(error);
@@ -53,12 +53,12 @@
         PollOutage { failed_polls: self.failed_polls, duration, is_report_due }
     }
 
-    /// Whether the last failure was of another kind.
+    /// Returns whether the last failure was of a different kind than `error`.
     pub(crate) fn is_different_kind(&self, error: &DiscoveryError) -> bool {
         self.last_error_kind != discriminant(error)
     }
 
-    /// What there is to tell at its end.
+    /// Returns a summary at the end of the outage, which is always due to be logged.
     pub(crate) fn summary(&self) -> PollOutage {
         let duration = self.started_at.elapsed();
         PollOutage { failed_polls: self.failed_polls, duration, is_report_due: true }
--- a/crates/discovery-client/src/overdue_polls.rs
+++ b/crates/discovery-client/src/overdue_polls.rs
@@ -1,32 +1,32 @@
-//! The polls that are overdue and still awaited.
+//! Polls that are overdue and still awaited.
 
 use std::time::Duration;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// So many at the most: each holds a connection.
+/// The maximum number of overdue polls; each of them holds a connection.
 const MAX_OVERDUE_POLLS: usize = 4;
 
-/// A poll whose answer is overdue.
+/// A poll whose response is overdue.
 #[derive(Debug)]
 pub(crate) struct OverduePoll {
     pub(crate) polled_at: Instant,
     pub(crate) task: AbortHandle,
 }
 
-/// The overdue polls that are still awaited, the oldest first.
+/// The overdue polls that are still awaited, oldest first.
 ///
-/// The oldest is answered first by discovery that is always as slow. But its call may be lost, so that newer ones have
-/// to be given time, too, whether discovery takes one second or many. The ages of those that are kept therefore grow
-/// about as the powers of two.
+/// If discovery is always equally slow, it answers the oldest poll first. That call may have been lost,
+/// however, so newer polls must be given time as well, whether discovery takes one second or many. The ages
+/// of the polls that are kept therefore grow approximately as powers of two.
 #[derive(Debug, Default)]
 pub(crate) struct OverduePolls {
     polls: Vec<OverduePoll>,
 }
 
 impl OverduePolls {
-    /// Awaits another one that has become overdue, unless it began within `spacing` of the one before. Ends one in the
-    /// middle if there are too many.
+    /// Adds a poll that has become overdue, or aborts it if it was sent less than `spacing` after the
+    /// previous one. If there are too many polls then, aborts one between the oldest and the newest.
     pub(crate) fn insert(&mut self, poll: OverduePoll, spacing: Duration) {
         self.polls.retain(|poll| !poll.task.is_finished());
         if self.polls.last().is_some_and(|last| poll.polled_at < last.polled_at + spacing) {
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Forgets them all.
+    /// Removes all polls without aborting them.
     pub(crate) fn clear(&mut self) {
         self.polls.clear();
     }
 
-    /// Ends the one whose neighbours are closest to each other, measured by its age.
+    /// Aborts the poll whose neighbors are closest to each other, relative to its own age.
     fn abort_closest_to_neighbors(&mut self) {
         let now = Instant::now();
         let relative_gap = |index: usize| {
--- a/crates/discovery-client/src/polls.rs
+++ b/crates/discovery-client/src/polls.rs
@@ -1,4 +1,4 @@
-//! The polls that are under way: the current one, and earlier ones whose answers are overdue.
+//! The polls in flight: the current one, and earlier ones whose responses are overdue.
 
 use crate::client::{Connection, Poll, PollAnswer, PollKind, PollProgress};
 use crate::error::DiscoveryError;
@@ -10,22 +10,22 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{Instant, timeout};
 
-/// An answer to a poll.
+/// A poll that was answered.
 pub(crate) struct AnsweredPoll {
     pub(crate) answer: PollAnswer,
     pub(crate) kind: PollKind,
     pub(crate) polled_at: Instant,
 }
 
-/// What came of the polls.
+/// The result of waiting for the polls.
 pub(crate) enum PollEvent {
-    /// One was answered. No other is under way any more.
+    /// A poll was answered. All other polls have been aborted.
     Answered(AnsweredPoll),
-    /// The current one failed or is overdue.
+    /// The current poll failed or is overdue.
     Failed(DiscoveryError),
 }
 
-/// A poll's task has ended.
+/// The result of a poll's task.
 struct FinishedPoll {
     id: u64,
     kind: PollKind,
@@ -33,7 +33,7 @@
     result: Result<PollAnswer, DiscoveryError>,
 }
 
-/// The poll that is not overdue.
+/// The most recent poll, while it is not overdue.
 struct CurrentPoll {
     id: u64,
     polled_at: Instant,
@@ -41,10 +41,11 @@
     task: AbortHandle,
 }
 
-/// The polls of one address.
+/// The polls of one discovery address.
 ///
-/// Discovery that serves a whole fleet may answer later than a new poll has to be made. A poll that is overdue is
-/// therefore not ended when the next one begins: if it were, discovery that is always slower would never be heard.
+/// Discovery that serves a whole fleet may take longer to respond than the time until the next poll is due.
+/// An overdue poll is therefore not aborted when the next one starts: otherwise the responses of discovery
+/// that is always slower than that would never be received.
 pub(crate) struct Polls {
     address: SocketAddr,
     timeouts: WatchTimeouts,
@@ -66,12 +67,12 @@
         }
     }
 
-    /// Whether there is a poll that is not overdue.
+    /// Returns whether a poll is in flight that is not overdue.
     pub(crate) fn has_current_poll(&self) -> bool {
         self.current.is_some()
     }
 
-    /// Makes a poll.
+    /// Starts a poll, which becomes the current one.
     pub(crate) fn start(&mut self, kind: PollKind, connection: Option<Connection>) {
         let id = self.next_id;
         self.next_id += 1;
@@ -87,7 +88,7 @@
         self.current = Some(CurrentPoll { id, polled_at, progress, task });
     }
 
-    /// Waits for the first answer of any poll, or until the current one fails or is overdue.
+    /// Waits for the first response to any poll, or until the current poll fails or is overdue.
     pub(crate) async fn next_event(&mut self) -> PollEvent {
         loop {
             let finished = tokio::select! {
@@ -98,7 +99,7 @@
                     return PollEvent::Failed(error);
                 }
             };
-            // One that was ended has nothing to say.
+            // An aborted poll yields no event.
             if let Some(event) = finished.ok().and_then(|finished| self.on_finished(finished)) {
                 return event;
             }
@@ -119,7 +120,7 @@
         }
     }
 
-    /// The current poll is overdue. Those that go on began some time apart, so that there are few.
+    /// Moves the current poll to the overdue ones. Their minimum spacing keeps the number of open polls low.
     fn move_current_to_overdue(&mut self) {
         let Some(current) = self.current.take() else { return };
         let poll = OverduePoll { polled_at: current.polled_at, task: current.task };
--- a/crates/discovery-client/src/timeouts.rs
+++ b/crates/discovery-client/src/timeouts.rs
@@ -1,4 +1,4 @@
-//! How long polls, watches and pauses may take.
+//! The timeouts of polls and watches, and the pause after failures.
 
 use foldhitch_balancer::api::NOTIFICATION_DEADLINE_MS;
 use std::time::Duration;
@@ -6,36 +6,37 @@
 /// [`NOTIFICATION_DEADLINE_MS`] in whole milliseconds.
 const DEADLINE_MS: u64 = NOTIFICATION_DEADLINE_MS as u64;
 
-/// An answer that is so late will not come: no call may wait for longer at discovery.
+/// The delay after which a response is considered lost: no call may wait longer than this at discovery.
 const LOST_RESPONSE_AFTER: Duration = Duration::from_secs(60);
 
-/// How long is waited.
+/// The timeouts of polls and watches.
 ///
-/// What discovery has to tell once it is back after a silence counts as notified at once, so that a whole round of
-/// a poll that is not answered and the pause after it has to fit well into a drain deadline.
+/// When discovery responds again after a silence, the changes that it reports count as notified at once. An
+/// unanswered poll and the pause after it must therefore together take well below a drain deadline.
 ///
 /// For a long drain deadline, and where the balancer schedules the polls, [`NOTIFICATION_DEADLINE_MS`] is the
-/// bound. A poll is overdue after its wait and at most three answer timeouts, for the connection, the answer and the
-/// rest of it. A watch that is overdue and the balancer's first delay take 5 and 2 twelfths of the deadline; a poll
-/// that is overdue after others and the balancer's longest delay 3 and 4. What is left is the answer's.
+/// bound. A poll is overdue after its wait and at most three response timeouts: for the connection, the
+/// response head and the rest of the response. An overdue watch and the balancer's first delay take 5/12 and
+/// 2/12 of the deadline; a poll that is overdue after others and the balancer's longest delay take 3/12 and
+/// 4/12. The remainder is left for the response.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchTimeouts {
-    /// A watch, for a change. One that fell silent has to be noticed long before what it misses counts as
-    /// notified, 6 s later.
+    /// How long discovery may hold a watch open until there is a change. A silent watch must be detected well
+    /// before the changes that it misses count as notified, which is 6 s after they were made.
     pub(crate) watch_wait: Duration,
-    /// An answer that is later than its wait by this is overdue, and so is the rest of one that stops for so long:
-    /// another poll is made beside it.
+    /// A response that starts this much later than the wait is overdue, and so is one whose remainder takes
+    /// this long. Another poll is then sent while the overdue one is still awaited.
     pub(crate) response_timeout: Duration,
-    /// An answer that is later than its wait by this is not awaited any more: its call must have been lost.
+    /// A response that is this much later than the wait is no longer awaited: the call must have been lost.
     pub(crate) overdue_timeout: Duration,
-    /// Of the polls that are overdue those that go on began so far apart.
+    /// The minimum time between the starts of overdue polls that are still awaited.
     pub(crate) overdue_poll_spacing: Duration,
-    /// After a failed poll.
+    /// The pause after a failed poll.
     pub(crate) failure_pause: Duration,
 }
 
 impl WatchTimeouts {
-    /// Those that suit a drain deadline.
+    /// Creates the timeouts for a drain deadline.
     pub fn new(drain_deadline: Duration) -> Self {
         let watch_wait = drain_deadline * 2;
         let response_timeout = drain_deadline / 2;
--- a/crates/proxy/tests/discovery_notification.rs
+++ b/crates/proxy/tests/discovery_notification.rs
@@ -136,7 +136,7 @@
                         "seed": "8c1f30d27a5be964",
                         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": rarely()});
     let mut proxy = Proxy::start_as(&config, "exec \"$0\"").await;
-    in_term(logged(&mut proxy, "no connection in time")).await;
+    in_term(logged(&mut proxy, "connect timeout")).await;
     let mut calls = agent(listener, 0, vec![b.line("SERVING")]);
     in_term(calls.recv()).await.expect("it calls");
     held(&mut calls).await;
