--- a/crates/discovery-client/tests/polling.rs
+++ b/crates/discovery-client/tests/polling.rs
@@ -1,4 +1,4 @@
-//! Following discovery, over loopback connections and on a paused clock: the agent does what a test says.
+//! Tests of `follow` against a scripted discovery server, over loopback connections and on a paused clock.
 
 mod support;
 
@@ -8,21 +8,21 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep_until};
 
-/// A list that is taken is watched from its version; after one that is not, the whole list is asked for.
+/// After an accepted list the next poll is a watch from its version; otherwise it asks for the full list.
 #[tokio::test(start_paused = true)]
 async fn older_or_empty_lists_are_ignored() {
     let cases = [
         (Some(7), ScriptedAnswer::List(8, false, 1), true, true),
-        (Some(7), ScriptedAnswer::List(7, false, 1), true, true), // the same again
-        (Some(7), ScriptedAnswer::List(6, false, 1), true, false), // it went back
+        (Some(7), ScriptedAnswer::List(7, false, 1), true, true), // the same version
+        (Some(7), ScriptedAnswer::List(6, false, 1), true, false), // an older version
         (Some(7), ScriptedAnswer::List(8, true, 1), true, true),
         (Some(7), ScriptedAnswer::List(7, true, 1), true, true),
         (Some(7), ScriptedAnswer::List(6, true, 1), true, false),
-        (None, ScriptedAnswer::List(6, true, 1), true, true), // discovery began anew
+        (None, ScriptedAnswer::List(6, true, 1), true, true), // discovery has restarted
         (Some(7), ScriptedAnswer::List(7, false, 0), true, true), // no change
-        (Some(7), ScriptedAnswer::List(8, true, 0), true, false), // nobody
+        (Some(7), ScriptedAnswer::List(8, true, 0), true, false), // an empty full list
         (None, ScriptedAnswer::List(8, true, 0), true, false),
-        (None, ScriptedAnswer::List(0, true, 0), false, true), // nobody yet
+        (None, ScriptedAnswer::List(0, true, 0), false, true), // empty, and no backend is ready
     ];
     for (held_version, answer, is_serving, is_accepted) in cases {
         let tasks = LocalSet::new();
@@ -39,7 +39,9 @@
                     DiscoveryHarness::follow(address, settings(false, 0.0), 1, drain_deadline, is_serving);
                 let index = usize::from(held_version.is_some()) + 1;
                 wait_for_calls(&calls, index + 1).await;
-                let ScriptedAnswer::List(seq, whole, hosts) = answer else { unreachable!("they are lists") };
+                let ScriptedAnswer::List(seq, whole, hosts) = answer else {
+                    unreachable!("every case is a list")
+                };
                 let path = calls.borrow()[index].1.clone();
                 let is_watched = path.contains(&format!("after={seq}&"));
                 assert_eq!(is_watched, is_accepted, "{held_version:?} {answer:?}: {path}");
@@ -54,9 +56,9 @@
     }
 }
 
-/// What discovery has to tell counts as notified 6 s later, whether or not it arrived: a watch that fell silent and
-/// an answer that stopped short leave time for a second try. Where discovery as such was silent, what it has to
-/// tell at its return counts at once: then a call that is not answered and the pause fit into a drain's grace.
+/// A change counts as notified 6 s after it was made, received or not, so a silent watch or a truncated
+/// response must leave time for a second poll. After a silence of discovery as a whole, its changes count as
+/// notified at once: then an unanswered poll and the pause must fit into the drain deadline.
 #[tokio::test(start_paused = true)]
 async fn silent_or_truncated_polls_are_retried_in_time() {
     let first_list = ScriptedAnswer::List(7, true, 1);
@@ -86,7 +88,7 @@
     }
 }
 
-/// The last of many calls that fail comes just before discovery is back.
+/// The worst case: discovery recovers just after the last of several failed polls was sent.
 #[tokio::test(start_paused = true)]
 async fn changes_arrive_in_time_after_failed_polls() {
     let mut longest_delay = Duration::ZERO;
@@ -101,7 +103,7 @@
     ] {
         for (is_polled, has_list) in [(false, false), (false, true), (true, false), (true, true)] {
             if failure == ScriptedAnswer::List(6, false, 1) && !has_list {
-                continue; // Older than nothing.
+                continue; // No version is held that it could be older than.
             }
             for drain_deadline in [100, 500, 2000, 10_000].map(Duration::from_millis) {
                 for (poll_within_ms, seed, failures) in
@@ -134,8 +136,8 @@
     println!("longest delay: {longest_delay:?}");
 }
 
-/// The watch, or a call after others that failed, ends late and in the middle of its answer, and the next one
-/// is answered as late.
+/// Guards against a late change where the watch, or a poll after failed ones, gets a late and truncated
+/// response, and the next response is as late.
 #[tokio::test(start_paused = true)]
 async fn changes_arrive_in_time_from_slow_discovery() {
     let mut longest_delay = Duration::ZERO;
@@ -165,7 +167,7 @@
     println!("longest delay: {longest_delay:?}");
 }
 
-/// Refused for long, at the start or later, and then reached at any moment.
+/// Discovery refuses connections from the start and accepts them after outages of different lengths.
 #[tokio::test(start_paused = true)]
 async fn changes_arrive_in_time_after_refused_connections() {
     let mut longest_delay = Duration::ZERO;
@@ -174,7 +176,7 @@
             for outage in (0..40).map(|n| Duration::from_millis(500 * n + 130)) {
                 let tasks = LocalSet::new();
                 let measurement = async {
-                    // The port is taken and nobody listens yet.
+                    // The port is bound but not listening yet.
                     let socket = TcpSocket::new_v4().expect("a socket");
                     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
                     let address = socket.local_addr().expect("bound");
--- a/crates/discovery-client/tests/slow_answers.rs
+++ b/crates/discovery-client/tests/slow_answers.rs
@@ -1,14 +1,6 @@
-//! Discovery that answers, but slowly, as one that serves a whole fleet does while many proxies start.
-//!
-//! What callers saw: where the list is polled, requests went to a backend for up to ten seconds after it had begun
-//! to drain, and were answered late or with an error.
-//!
-//! Why: an answer later than half the drain deadline, 0.5 s at the most, was given up, its connection closed, and the
-//! poll made anew, with the same fate. Discovery that always took longer was never heard.
-//!
-//! What showed it: seven of eight instances logged `discovery: no answer in time` at their start and then nothing, and
-//! held the list of their configuration. Lines at each poll had 1 to 11 polls given up after 0.5 s, one after the
-//! other; where each was awaited for 5 s, the answers came after 0.3 to 1.8 s.
+//! Guards against lists that are never received from slow discovery. While a fleet started, discovery took
+//! 0.3 to 1.8 s, but a response later than half the drain deadline (0.5 s at most) was abandoned and polled
+//! anew, with the same result. Requests then went to a backend for up to 10 s after it had begun to drain.
 
 mod support;
 
@@ -16,12 +8,12 @@
 use support::*;
 use tokio::task::LocalSet;
 
-/// Drain deadlines of the sites in use, and one that is longer than the term of a notification.
+/// The drain deadlines of the sites in use, and one that is longer than the notification deadline.
 const DRAIN_DEADLINES_MS: [u64; 4] = [100, 500, 2000, 10_000];
-/// The longest interval that the settings name for polls, in milliseconds.
+/// The longest poll interval that occurs in settings, in milliseconds.
 const POLL_WITHIN_MS: f64 = 10_000.0;
 
-/// Runs a case for pushed and polled lists, for each drain deadline and each lateness of the head or of the body.
+/// Runs a case with pushed and with polled lists, for each drain deadline and each delay of head or body.
 async fn for_each_case(delays_ms: &[u64], case: impl AsyncFn(bool, Duration, AnswerDelay)) {
     for is_polled in [false, true] {
         for drain_deadline in DRAIN_DEADLINES_MS.map(Duration::from_millis) {
@@ -74,7 +66,7 @@
     .await;
 }
 
-/// Calls that wait for an answer are bounded: discovery that is unresponsive must not cost a proxy its descriptors.
+/// Guards against unresponsive discovery that exhausts a proxy's descriptors through waiting polls.
 #[tokio::test(start_paused = true)]
 async fn open_polls_are_bounded_at_unresponsive_discovery() {
     const MAX_WAITING_CALLS: usize = 5;
@@ -90,7 +82,7 @@
                     tokio::time::sleep(Duration::from_millis(10)).await;
                     most = most.max(open.get());
                 }
-                assert!(most >= 1, "nobody called");
+                assert!(most >= 1, "no connection was opened");
                 assert!(most <= MAX_WAITING_CALLS, "polled {is_polled}, {drain_deadline:?}: {most}");
             };
             LocalSet::new().run_until(run).await;
@@ -98,7 +90,7 @@
     }
 }
 
-/// Guards against a list that is never had from discovery that takes longer for it than polls are apart.
+/// Guards against a list that is never received because discovery takes longer than the poll interval.
 #[tokio::test(start_paused = true)]
 async fn list_is_accepted_after_any_response_delay() {
     for_each_case(&[4_000, 20_000], async |is_polled, drain_deadline, delay| {
@@ -115,7 +107,7 @@
     .await;
 }
 
-/// Guards against the same behind an outage in which the first calls were lost.
+/// Guards against a list that is never received because polls lost in an outage stay overdue.
 #[tokio::test(start_paused = true)]
 async fn list_is_accepted_when_outage_polls_were_lost() {
     const LOST_CALLS: usize = 30;
@@ -136,7 +128,7 @@
     .await;
 }
 
-/// Guards against drained backends that an old list brings back since it came late.
+/// Guards against drained backends that return to service because the response with an older list was late.
 #[tokio::test(start_paused = true)]
 async fn late_older_list_is_not_a_version_restart() {
     for_each_case(&[1_000, 4_000], async |is_polled, drain_deadline, delay| {
--- a/crates/discovery-client/tests/support/mod.rs
+++ b/crates/discovery-client/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An agent of discovery that follows a script, and a balancer that follows the agent as the proxy's does.
+//! A scripted discovery server, and an observer that connects discovery to a balancer as the proxy does.
 
-// Each test program uses a part of it.
+// Each test binary uses a part of this module.
 #![allow(dead_code)]
 
 use foldhitch_balancer::Balancer;
@@ -18,23 +18,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-/// The most that may pass before what discovery has is notified: a sixth of the term is left for a slow machine.
+/// The time limit for a notification: the deadline less a sixth, which is left for a slow machine.
 pub const NOTIFICATION_LIMIT: Duration = Duration::from_millis(NOTIFICATION_DEADLINE_MS as u64 / 6 * 5);
 
-/// What the agent does with a call.
+/// How the scripted server answers a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ScriptedAnswer {
-    /// Answers with a version, the whole list or not, and so many entries.
+    /// A list with a version, whether it is a full list, and the number of its endpoints.
     List(u64, bool, usize),
-    /// Answers nothing, also not later.
+    /// No response at all.
     NoAnswer,
-    /// Stops in the middle of its answer.
+    /// A response that stops in the middle of its body.
     Truncated,
-    /// Begins its answer and goes on with it without an end.
+    /// A response whose body goes on without an end.
     EndlessBody,
-    /// Answers an error.
+    /// A response with status 503.
     ServerError,
-    /// Ends the connection.
+    /// A closed connection.
     CloseConnection,
 }
 
@@ -61,19 +61,19 @@
     }
 }
 
-/// The calls that came: when, and for what.
+/// The calls that were received: the time and the path of each.
 pub type Calls = Rc<RefCell<Vec<(Instant, String)>>>;
 
-/// How late an agent is with each answer.
+/// The delay of each response.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AnswerDelay {
-    /// Of the head, behind the wait that the call asks for.
+    /// The delay of the head after the wait that the call asks for.
     pub head: Duration,
-    /// Of the body, behind the head.
+    /// The delay of the body after the head.
     pub body: Duration,
 }
 
-/// An agent that answers its n-th call at once, by the script.
+/// Starts a server that answers its n-th call at once with `script(n)`.
 pub fn scripted_discovery(
     listener: TcpListener,
     script: impl Fn(usize) -> ScriptedAnswer + 'static,
@@ -81,7 +81,7 @@
     slow_discovery(listener, AnswerDelay::default(), script)
 }
 
-/// An agent that answers its n-th call late, by the script.
+/// Starts a server that answers its n-th call with `script(n)` after a delay.
 pub fn slow_discovery(
     listener: TcpListener,
     delay: AnswerDelay,
@@ -109,7 +109,7 @@
                     if !delay.head.is_zero() {
                         sleep(Duration::from_millis(wait) + delay.head).await;
                     }
-                    // In two pieces.
+                    // The head and the body are written separately.
                     let head = answer.find("\r\n\r\n").map_or(0, |end| end + 4);
                     let (head, body) = answer.split_at(head);
                     let _ = stream.write_all(head.as_bytes()).await;
@@ -125,20 +125,20 @@
     calls
 }
 
-/// A proxy between discovery and the balancer, as the real one fills it.
+/// An observer that passes lists to a balancer and polls on its request, as the proxy does.
 pub struct DiscoveryHarness {
     balancer: RefCell<Balancer>,
     poll_wanted: watch::Sender<bool>,
     has_ready_endpoint: bool,
     start: Instant,
-    /// When lists came, and with how many entries.
+    /// The time and the number of endpoints of each received list.
     pub received_lists: RefCell<Vec<(Instant, usize)>>,
-    /// Whether each of them was older than one had before.
+    /// For each received list, whether it was older than one received before.
     pub older_flags: RefCell<Vec<bool>>,
 }
 
 impl DiscoveryHarness {
-    /// Follows an agent in the background.
+    /// Follows discovery in the background.
     pub fn follow(
         address: SocketAddr,
         settings: Settings,
@@ -167,7 +167,7 @@
         harness
     }
 
-    /// When a list with so many entries is notified first.
+    /// Waits for the first list with this number of endpoints and returns when it was received.
     pub async fn wait_for_list_of(&self, entries: usize) -> Instant {
         loop {
             if let Some((at, _)) = self.received_lists.borrow().iter().find(|(_, n)| *n == entries) {
@@ -237,14 +237,14 @@
     (listener, address)
 }
 
-/// Waits until so many calls have come.
+/// Waits until `n` calls have been received.
 pub async fn wait_for_calls(calls: &Calls, n: usize) {
     while calls.borrow().len() < n {
         sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Accepts connections and reads them without an answer; how many are open.
+/// Accepts connections and reads from them without a response. Returns the number of open connections.
 pub fn count_open_connections(listener: TcpListener) -> Rc<Cell<usize>> {
     let open = Rc::<Cell<usize>>::default();
     let counted = open.clone();
