--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! Tells the balancer of events, and carries out its actions.
+//! Passes events to the balancer and carries out its actions.
 
 use super::clock::duration_from_ms;
 use super::messages::Answer;
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep};
 
 impl Dispatcher {
-    /// Tells the balancer of an event and carries out what it decides, and so on until all is quiet.
+    /// Passes an event to the balancer and carries out its actions, until no further events are pending.
     pub(super) fn handle(self: &Rc<Self>, event: Event) {
         let state = &mut *self.state.borrow_mut();
         state.events.push_back(event);
@@ -109,7 +109,8 @@
         });
     }
 
-    /// An attempt ended. The first served response goes to the client by itself.
+    /// Handles the end of an attempt. The first served response is passed to the client without a decision of
+    /// the balancer.
     fn finish_attempt(self: &Rc<Self>, request: RequestId, number: usize, finished: FinishedAttempt) {
         let events = self.state.borrow_mut().finish_attempt(request, number, finished);
         for event in events {
@@ -119,7 +120,7 @@
 }
 
 impl State {
-    /// Notes the end of an attempt and answers the client, if that is due; returns what the balancer is to be told.
+    /// Records the end of an attempt, answers the client if that is due, and returns the balancer's events.
     fn finish_attempt(&mut self, request: RequestId, number: usize, finished: FinishedAttempt) -> Vec<Event> {
         let FinishedAttempt { outcome, held_for } = finished;
         let Some(entry) = self.requests.get_mut(request) else { return Vec::new() };
@@ -131,7 +132,8 @@
             AttemptOutcome::InvalidRequest(status) => {
                 self.log_request(request, &format!("aborted by its client, {status}"));
             }
-            // What comes next is decided with this outcome, and perhaps at once: a further attempt.
+            // The balancer may send another attempt at once when it gets this outcome, so it learns of the
+            // disconnect first.
             AttemptOutcome::Unserved(_) if self.complete_if_disconnected(request) => {
                 events.push(Event::ClientDisconnected { request });
             }
@@ -150,7 +152,7 @@
         events
     }
 
-    /// Whether a request's client has disconnected, which then waits for no answer any more.
+    /// Completes a request without an answer if its client has disconnected, and returns whether that is so.
     fn complete_if_disconnected(&mut self, request: RequestId) -> bool {
         if !self.requests.get(request).is_some_and(RequestEntry::is_client_disconnected) {
             return false;
@@ -162,12 +164,12 @@
         true
     }
 
-    /// A line for a request that is about to end unserved, so that it can be followed by its id.
+    /// Logs a request that is about to end unserved, with its id, so that it can be traced.
     pub(super) fn log_request(&self, request: RequestId, what: &str) {
         self.log_unserved(request, what, None);
     }
 
-    /// The same, with the balancer's reason.
+    /// Logs a request that is about to end unserved, with the balancer's reason if there is one.
     fn log_unserved(&self, request: RequestId, what: &str, reason: Option<UnservedReason>) {
         let Some(entry) = self.requests.get(request).filter(|entry| entry.is_pending()) else { return };
         let class = &entry.settings.site.class_names[usize::from(entry.class)];
--- a/crates/proxy/src/dispatcher/clock.rs
+++ b/crates/proxy/src/dispatcher/clock.rs
@@ -1,13 +1,13 @@
-//! Milliseconds for the balancer on a monotonic clock.
+//! The monotonic clock of the balancer, in milliseconds.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Longest duration that is waited for, in seconds: a day.
+/// The maximum duration of a wait, in seconds: one day.
 const MAX_DURATION_S: f64 = 86_400.0;
 
-/// A monotonic clock that starts at the Unix time of the process's start, so that the starts of backends, which
-/// discovery gives in Unix time, lie on it as they are.
+/// A monotonic clock that starts at the Unix time at which the process started. The start times of backends,
+/// which discovery gives in Unix time, can therefore be compared with it directly.
 pub(super) struct Clock {
     start: Instant,
     start_ms: f64,
@@ -32,12 +32,12 @@
     }
 }
 
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 pub(super) fn milliseconds(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1000.0
 }
 
-/// A duration; what is not a sensible number of milliseconds counts as none, and a day is the most.
+/// Converts milliseconds to a duration of at most one day. A negative or non-finite number gives zero.
 pub fn duration_from_ms(ms: f64) -> Duration {
     let seconds = if ms.is_finite() { (ms / 1000.0).clamp(0.0, MAX_DURATION_S) } else { 0.0 };
     Duration::from_secs_f64(seconds)
--- a/crates/proxy/src/dispatcher/endpoint_table.rs
+++ b/crates/proxy/src/dispatcher/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The backends that the endpoint list names, or that open requests were sent to.
+//! The table of backends: listed ones, suspended ones, and those that open requests were sent to.
 
 use crate::upstream::{ConnectionPool, Endpoint};
 use foldhitch_balancer::api::{BackendId, EndpointInfo, Phase};
@@ -9,25 +9,25 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// A process of a backend, as the list names it.
+/// The process of a backend according to the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct BackendProcess {
     address: SocketAddr,
     started_at_ms: f64,
 }
 
-/// A backend.
+/// A backend in the table.
 pub(super) struct EndpointEntry {
     pub(super) name: String,
-    /// Whether the list names it.
+    /// Whether the endpoint list contains it.
     is_listed: bool,
-    /// Whether the balancer has it suspended on the operators' word.
+    /// Whether the operators have suspended it.
     pub(super) is_suspended: bool,
-    /// Its process by the list, while it takes requests.
+    /// Its process according to the list, while it takes requests.
     process: Option<BackendProcess>,
-    /// The start of its process, while that drains by the list.
+    /// The start time of its process, while that is draining according to the list.
     draining_process_started_at_ms: Option<f64>,
-    /// What is sent to, once it was ready.
+    /// The endpoint that requests are sent to; set once the backend has been ready.
     endpoint: Option<Rc<Endpoint>>,
 }
 
@@ -47,7 +47,8 @@
         self.is_listed || self.is_suspended
     }
 
-    /// Nothing new is sent to the backend from now on.
+    /// Marks the endpoint as draining, so that no new requests are sent to it, and closes its idle
+    /// connections.
     fn start_draining(&self, pool: &ConnectionPool) {
         let endpoint = self.endpoint.as_ref().filter(|endpoint| !endpoint.is_draining());
         if let Some(endpoint) = endpoint {
@@ -56,9 +57,9 @@
         }
     }
 
-    /// Requests are sent to the process that the list names, unless the backend is suspended. A new process knows
-    /// nothing of the old one's connections: where its machine fell silent they look open still, and a request on one
-    /// would end as a reset, which may have run.
+    /// Creates a new endpoint if the process in the list has changed, unless the backend is suspended. A new
+    /// process does not use the connections to the old one: if the old machine went silent they still look
+    /// open, and a request on one of them would end with a reset, after which it may have run.
     fn refresh_endpoint(&mut self, pool: &ConnectionPool) {
         let Some(process) = self.process.filter(|_| !self.is_suspended) else { return };
         let is_current = self.endpoint.as_ref().is_some_and(|endpoint| {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// The phase that a record of the list brings. One of an older list brings no process back that was told to
-    /// drain: that may have been later.
+    /// Returns the phase of a backend according to a record. A record of an older list does not return a
+    /// draining process to service, because the drain may be newer than that list.
     fn phase(&self, record: &EndpointRecord, is_older: bool) -> Phase {
         let is_draining_process = self.draining_process_started_at_ms == Some(record.started_at_ms);
         match record.health {
@@ -96,15 +97,15 @@
     }
 }
 
-/// An endpoint of the list is in a zone that the settings don't name.
+/// The error for a listed endpoint whose zone is not in the settings.
 #[derive(Debug, thiserror::Error)]
-#[error("{name}: zone {zone:?} is unknown, passed over")]
+#[error("skipped endpoint {name}: zone {zone:?} is not in the settings")]
 pub(super) struct UnknownZone {
     name: String,
     zone: String,
 }
 
-/// The backends, by their ids.
+/// The backends by id.
 pub(super) struct EndpointTable {
     pool: Rc<ConnectionPool>,
     ids: HashMap<String, BackendId>,
@@ -116,8 +117,9 @@
         EndpointTable { pool, ids: HashMap::new(), endpoints: HashMap::new() }
     }
 
-    /// A backend by its name, with the balancer's id for it. That is made from the name, since every instance orders
-    /// the backends by it: the instances' subsets are to overlap evenly.
+    /// Returns the backend with this name and its id, and adds it if it is missing. The id is derived from
+    /// the name because every instance orders the backends by id, so that the subsets of the instances
+    /// overlap evenly.
     pub(super) fn find_or_add(&mut self, name: &str) -> (BackendId, &mut EndpointEntry) {
         let id = self.ids.get(name).copied().unwrap_or_else(|| {
             let id = self.new_id(name);
@@ -135,7 +137,7 @@
         id
     }
 
-    /// Whether a backend of this name is listed or suspended.
+    /// Returns whether a backend with this name is listed or suspended.
     pub(super) fn contains(&self, name: &str) -> bool {
         let endpoint = self.ids.get(name).and_then(|id| self.endpoints.get(id));
         endpoint.is_some_and(EndpointEntry::is_listed_or_suspended)
@@ -145,17 +147,17 @@
         self.endpoints.get(&id).map(|endpoint| endpoint.name.as_str())
     }
 
-    /// What requests to a backend are sent to.
+    /// Returns the endpoint that requests to a backend are sent to.
     pub(super) fn endpoint(&self, id: BackendId) -> Option<&Rc<Endpoint>> {
         self.endpoints.get(&id)?.endpoint.as_ref()
     }
 
-    /// Whether some backend takes requests.
+    /// Returns whether at least one backend takes requests.
     pub(super) fn has_ready(&self) -> bool {
         self.ready().next().is_some()
     }
 
-    /// How many backends take requests.
+    /// Returns the number of backends that take requests.
     pub(super) fn ready_count(&self) -> usize {
         self.ready().count()
     }
@@ -165,13 +167,13 @@
         endpoints.filter(|endpoint| !endpoint.is_draining())
     }
 
-    /// The suspended backends.
+    /// Returns the suspended backends.
     pub(super) fn suspended(&self) -> impl Iterator<Item = (BackendId, &str)> {
         let suspended = self.endpoints.iter().filter(|(_, endpoint)| endpoint.is_suspended);
         suspended.map(|(&id, endpoint)| (id, endpoint.name.as_str()))
     }
 
-    /// Suspends a backend or resumes it; returns its name.
+    /// Suspends or resumes a backend and returns its name, or `None` if the id is unknown.
     pub(super) fn set_suspended(&mut self, id: BackendId, is_suspended: bool) -> Option<&str> {
         let endpoint = self.endpoints.get_mut(&id)?;
         endpoint.is_suspended = is_suspended;
@@ -183,14 +185,14 @@
         Some(&endpoint.name)
     }
 
-    /// A whole list follows: what it lacks is gone.
+    /// Marks all backends as unlisted before a full list is applied.
     pub(super) fn mark_all_unlisted(&mut self) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.is_listed = false;
         }
     }
 
-    /// Withdraws what the list lacked.
+    /// Drains the backends that the list does not contain.
     pub(super) fn drain_unlisted(&mut self) {
         for endpoint in self.endpoints.values_mut().filter(|endpoint| !endpoint.is_listed) {
             endpoint.process = None;
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Takes an endpoint of the list; returns what the balancer is told of it.
+    /// Applies a record of the list and returns the information for the balancer.
     pub(super) fn update(
         &mut self,
         record: &EndpointRecord,
@@ -211,7 +213,7 @@
         let phase = endpoint.phase(record, is_older);
         let zone = match zone_names.iter().position(|zone| *zone == record.zone) {
             Some(zone) => zone,
-            // Nothing is sent to it, so that its zone doesn't matter.
+            // The zone doesn't matter, because nothing is sent to this backend.
             None if phase != Phase::Ready => 0,
             None => return Err(UnknownZone { name: record.name.clone(), zone: record.zone.clone() }),
         };
@@ -226,12 +228,12 @@
         })
     }
 
-    /// Whether some backends are neither listed nor suspended.
+    /// Returns whether some backends are neither listed nor suspended.
     pub(super) fn has_stale(&self) -> bool {
         !self.endpoints.values().all(EndpointEntry::is_listed_or_suspended)
     }
 
-    /// Forgets the backends that are neither listed nor suspended nor in use.
+    /// Removes the backends that are neither listed nor suspended nor in `in_use`.
     pub(super) fn remove_stale(&mut self, in_use: &HashSet<BackendId>) {
         let ids = &mut self.ids;
         self.endpoints.retain(|id, endpoint| {
@@ -254,7 +256,7 @@
     }
 }
 
-/// A hash of a text.
+/// Returns a hash of a string.
 pub(super) fn hash_str(text: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     text.hash(&mut hasher);
--- a/crates/proxy/src/dispatcher/endpoints.rs
+++ b/crates/proxy/src/dispatcher/endpoints.rs
@@ -1,4 +1,4 @@
-//! The way of an endpoint list through the dispatcher, and what is known of discovery.
+//! Applies endpoint lists, and keeps the status of discovery.
 
 use super::Dispatcher;
 use super::clock::milliseconds;
@@ -13,22 +13,22 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// What is known of discovery.
+/// The status of discovery.
 #[derive(Default)]
 pub(super) struct DiscoveryStatus {
-    /// Where it is polled.
+    /// The address that is polled.
     address: Cell<Option<SocketAddr>>,
-    /// The version of the list in force, which is logged once however often discovery sends it.
+    /// The version of the list in force. Each version is logged once, however often discovery sends it.
     list_version: Cell<Option<u64>>,
-    /// When that list was first had.
+    /// The time at which that list was received first.
     list_changed_at: Cell<Option<Instant>>,
-    /// When a poll was answered last.
+    /// The time of the last answered poll.
     answered_at: Cell<Option<Instant>>,
-    /// Polls that have failed since.
+    /// The number of failed polls since then.
     failed_polls: Cell<u32>,
 }
 
-/// The status as the admin API answers with it.
+/// The status in the response of the admin API.
 #[derive(Debug, Serialize)]
 struct StatusResponse {
     address: Option<SocketAddr>,
@@ -52,18 +52,18 @@
 }
 
 impl Dispatcher {
-    /// Notes where discovery is polled from now on.
+    /// Sets the address that is polled from now on, and logs it.
     pub fn set_discovery_address(&self, address: SocketAddr) {
         self.discovery.address.set(Some(address));
-        log!("discovery: following {address}");
+        log!("discovery: polling {address}");
     }
 
-    /// What is known of discovery, as JSON.
+    /// Returns the status of discovery as JSON.
     pub fn discovery_json(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string(&self.discovery.response())
     }
 
-    /// Takes an endpoint list, or changes to it.
+    /// Applies an endpoint list, or changes to it.
     pub fn update_endpoints(self: &Rc<Self>, update: EndpointListUpdate) {
         let endpoints = self.resolve_endpoints(update.kind, &update.endpoints, update.is_older);
         self.log_endpoint_list(&update);
@@ -72,7 +72,7 @@
         self.remove_stale_endpoints();
     }
 
-    /// Logs a version of the list once, however often discovery sends it.
+    /// Logs each version of the list once, however often discovery sends it.
     fn log_endpoint_list(&self, update: &EndpointListUpdate) {
         let is_from_discovery = update.origin != ListOrigin::Configuration;
         let version = Some(update.version).filter(|_| is_from_discovery);
@@ -86,7 +86,7 @@
             ListOrigin::Watch => "a watch",
         };
         let extent = if update.kind == EndpointListKind::Delta { "changes to" } else { "full," };
-        let age = if update.is_older { ", older than one had before" } else { "" };
+        let age = if update.is_older { ", older than one received before" } else { "" };
         let version = update.version;
         let count = update.endpoints.len();
         let ready = self.state.borrow().endpoints.ready_count();
@@ -117,8 +117,9 @@
         endpoints
     }
 
-    /// Forgets the backends that no list names, once no open request was sent to them: the balancer has forgotten
-    /// such a backend too. Where backends are replaced by new ones all day, nothing may grow with their number.
+    /// Removes the backends that are neither listed nor suspended and that no open request was sent to; the
+    /// balancer has removed them too. Where new backends replace old ones continuously, memory must not grow
+    /// with their number.
     pub fn remove_stale_endpoints(&self) {
         let state = &mut *self.state.borrow_mut();
         if state.endpoints.has_stale() {
@@ -153,9 +154,11 @@
         }
         let PollOutage { failed_polls, duration, .. } = outage;
         let list = self.discovery.list_version.get();
-        let list = list.map_or("no list of its".to_string(), |version| format!("endpoint list {version}"));
+        let list = list.map_or("no list received yet".to_string(), |version| {
+            format!("endpoint list {version} stays in force")
+        });
         let duration = duration.as_millis();
-        log!("discovery: {failed_polls} polls failed in {duration} ms, last: {error}; {list} stays in force");
+        log!("discovery: {failed_polls} polls failed in {duration} ms, last error: {error}; {list}");
     }
 
     fn on_warning(&self, warning: &DiscoveryError) {
@@ -164,6 +167,6 @@
 
     fn on_recovery(&self, outage: PollOutage) {
         let PollOutage { failed_polls, duration, .. } = outage;
-        log!("discovery: answers again, after {failed_polls} failed polls in {} ms", duration.as_millis());
+        log!("discovery: recovered after {failed_polls} failed polls in {} ms", duration.as_millis());
     }
 }
--- a/crates/proxy/src/dispatcher/messages.rs
+++ b/crates/proxy/src/dispatcher/messages.rs
@@ -1,44 +1,44 @@
-//! What the clients' side and the dispatcher tell each other.
+//! The messages between the downstream side and the dispatcher.
 
 use crate::transport::{BodyContent, SendGuard};
 use crate::upstream::UpstreamRequest;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request as it came in, its names resolved.
+/// A received request whose class and tenant have been resolved.
 pub struct IncomingRequest {
-    /// What is sent to backends.
+    /// The request as it is sent to backends.
     pub request: UpstreamRequest,
-    /// Place of its class in the settings.
+    /// The index of its class in the settings.
     pub class: u16,
-    /// Place of its tenant.
+    /// The index of its tenant in the settings.
     pub tenant: u16,
-    /// What it is about.
+    /// Its ordering key, if it has one.
     pub ordering_key: Option<String>,
-    /// Whether its client is still connected.
+    /// Returns whether its client is still connected.
     pub is_client_connected: SendGuard,
-    /// When its head had come.
+    /// The time at which its head was complete.
     pub received_at: Instant,
-    /// How long its client waits.
+    /// The client timeout.
     pub client_timeout: Duration,
-    /// How much longer that may be where its body is streamed through, since it counts from the last byte.
+    /// The extension of the client timeout for a streamed body, since the timeout counts from the last byte.
     pub body_extension: Duration,
 }
 
-/// A request's final answer.
+/// The final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// A backend's response.
+    /// The response of a backend.
     Served(BodyContent),
-    /// Its client did not send a complete request.
+    /// The client did not send a complete request.
     InvalidRequest(hyper::StatusCode),
-    /// Rejected; a retry by the client is harmless.
+    /// The request was rejected and has not run; the client can retry it safely.
     Rejected {
-        /// How long the client should stay away, where that is told.
+        /// The delay for the `Retry-After` header, if there is one.
         retry_after: Option<Duration>,
     },
-    /// Failed; it may have run.
+    /// The request failed and may have run.
     Failed,
-    /// No response in time; it may have run.
+    /// There was no response in time; the request may have run.
     TimedOut,
 }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! The only owner of the balancer: turns what happens on the sockets into its events, in order, and carries out its
+//! The sole owner of the balancer: converts socket events into balancer events, in order, and carries out its
 //! actions. Keeps the clock, the timers, the open requests and the endpoints.
 
 mod actions;
@@ -31,10 +31,10 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The balancer's deadline lies so much before the client's: a deadline counts from when the client sent the request,
-/// and the answer has yet to reach it.
+/// The time by which the balancer's deadline precedes the client's. The client's deadline counts from when it
+/// sent the request, and the answer still has to reach it.
 pub const RESPONSE_MARGIN: Duration = Duration::from_millis(25);
-/// A request still without an answer so long before the client's deadline is failed whatever the balancer says.
+/// A request without an answer this long before the client's deadline times out, whatever the balancer says.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(10);
 
 struct State {
@@ -45,29 +45,31 @@
     actions: Vec<Action>,
 }
 
-/// The middle of the proxy. Everything runs on one thread, so that events have one order.
+/// Connects clients, balancer and backends. Everything runs on one thread, so events have a single order.
 pub struct Dispatcher {
     state: RefCell<State>,
     pool: Rc<ConnectionPool>,
     clock: Clock,
-    /// The settings in force: they change in the same turn as the balancer's.
+    /// The settings in force. They change together with those of the balancer, between two events.
     settings: RefCell<Rc<ResolvedSettings>>,
-    /// What is known of discovery.
+    /// The status of discovery.
     discovery: DiscoveryStatus,
-    /// Whether the endpoint list is to be polled.
+    /// Whether the balancer wants the endpoint list to be polled.
     poll_wanted: watch::Sender<bool>,
-    /// Whether clients are sent elsewhere.
+    /// Whether the proxy is draining: clients are asked to connect elsewhere.
     draining: watch::Sender<bool>,
-    /// How many processes act as this proxy; each keeps to its part of what the proxy may hold.
+    /// The number of processes that serve as this proxy.
     process_count: watch::Sender<u32>,
-    /// Processes that share what the proxy may hold.
+    /// The number of processes that share the resource limits of the proxy, including those that are still
+    /// starting.
     sharing_count: watch::Sender<u32>,
-    /// From when on nothing is awaited any more; set by a planned stop.
+    /// The time by which all requests must be answered; set by a planned stop.
     stop_at: Cell<Option<Instant>>,
 }
 
 impl Dispatcher {
-    /// Starts the balancer. Its polls for the endpoint list are requested through `poll_wanted`.
+    /// Creates a dispatcher and its balancer. The balancer requests polls of the endpoint list through
+    /// `poll_wanted`.
     pub fn new(
         settings: ResolvedSettings,
         seed: u64,
@@ -95,18 +97,18 @@
         }))
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Rc<ResolvedSettings> {
         self.settings.borrow().clone()
     }
 
-    /// Version of the settings in force.
+    /// Returns the version of the settings in force.
     pub fn settings_version(&self) -> u64 {
         self.state.borrow().balancer.version()
     }
 
-    /// Puts other settings in force, here and in the balancer, and returns their version. An error says what is
-    /// wrong; nothing has changed then. A class or tenant continues the one of its name.
+    /// Puts new settings in force, here and in the balancer, and returns their version. If there is an error,
+    /// nothing has changed. A class or tenant continues the previous one with the same name.
     pub fn configure(
         self: &Rc<Self>,
         settings: ResolvedSettings,
@@ -130,46 +132,47 @@
         Ok(version)
     }
 
-    /// The longest that something takes by the settings in force and by those that pending requests were admitted
-    /// under.
+    /// Returns the maximum of a duration over the settings in force and the settings that pending requests
+    /// were admitted under.
     pub fn max_over_settings(&self, value: impl Fn(&SiteSettings) -> Duration) -> Duration {
         let state = self.state.borrow();
         let pending = state.requests.pending().map(|entry| value(&entry.settings.site));
         pending.fold(value(&self.settings().site), Duration::max)
     }
 
-    /// Whether the proxy drains, and changes of that.
+    /// Returns a receiver of whether the proxy is draining.
     pub fn draining(&self) -> watch::Receiver<bool> {
         self.draining.subscribe()
     }
 
-    /// How many processes share what this proxy may hold, with those that do not serve yet, and changes of that.
+    /// Returns a receiver of the number of processes that share the resource limits, including those that do
+    /// not serve yet.
     pub fn sharing_count(&self) -> watch::Receiver<u32> {
         self.sharing_count.subscribe()
     }
 
-    /// How many processes serve as this proxy, and changes of that.
+    /// Returns a receiver of the number of processes that serve as this proxy.
     pub fn process_count(&self) -> watch::Receiver<u32> {
         self.process_count.subscribe()
     }
 
-    /// Whether a backend of this name is listed or suspended.
+    /// Returns whether a backend with this name is listed or suspended.
     pub fn knows_backend(&self, name: &str) -> bool {
         self.state.borrow().endpoints.contains(name)
     }
 
-    /// Whether requests can be dispatched: some backend takes them.
+    /// Returns whether requests can be dispatched, that is, at least one backend takes them.
     pub fn has_ready_endpoint(&self) -> bool {
         self.state.borrow().endpoints.has_ready()
     }
 
-    /// How many requests have a pending answer.
+    /// Returns the number of requests whose answer is pending.
     pub fn pending_requests(&self) -> usize {
         self.state.borrow().requests.pending().count()
     }
 
-    /// Tells the balancer what the operators want: these backends suspended and no others, the proxy draining or not,
-    /// and how many processes live.
+    /// Applies the state that the operators have requested: the suspended backends (all others are resumed),
+    /// whether the proxy is draining, and the number of live processes. Passes the changes to the balancer.
     pub fn apply_control_state(self: &Rc<Self>, control: &ControlState) {
         let mut events = self.suspension_events(control);
         if *self.draining.borrow() != control.is_draining {
@@ -208,7 +211,7 @@
     }
 }
 
-/// For each new name the place that it had before. Of two alike the first goes on.
+/// Returns the previous index of each new name. If a name occurs twice, the first occurrence continues.
 fn previous_indices(old: &[String], new: &[String]) -> Vec<Option<u16>> {
     let mut indices: HashMap<&String, u16> = HashMap::new();
     for (index, name) in (0..).zip(old) {
--- a/crates/proxy/src/dispatcher/request_table.rs
+++ b/crates/proxy/src/dispatcher/request_table.rs
@@ -1,4 +1,4 @@
-//! The open requests: their pending answers, and their attempts.
+//! The open requests with their pending answers and their attempts.
 
 use super::clock::milliseconds;
 use super::messages::Answer;
@@ -12,27 +12,27 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The answer that a request is to get. The way to the client is used up by its one answer, and with it goes what
-/// keeps those of its attempts wanted that have not begun.
+/// The state of a request's answer. The one answer consumes the sender and drops the guard; without the
+/// guard, attempts that have not started are no longer sent.
 pub(super) enum ResponseSlot {
-    /// None was given yet.
+    /// No answer has been given yet.
     Pending {
-        /// Takes the answer.
+        /// The sender of the answer.
         answer: oneshot::Sender<Answer>,
-        /// Whether the client is still connected.
+        /// Returns whether the client is still connected.
         is_client_connected: SendGuard,
     },
-    /// It was given, or nobody waits for one.
+    /// The answer was given, or the client no longer waits for one.
     Completed,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 pub(super) struct InFlightAttempt {
     pub(super) sent_at: Instant,
     pub(super) cancel: Option<oneshot::Sender<()>>,
 }
 
-/// What has become of an attempt.
+/// The state of an attempt.
 pub(super) enum AttemptState {
     InFlight(InFlightAttempt),
     Finished { outcome: Outcome, latency: Duration },
@@ -47,26 +47,26 @@
 /// An open request.
 pub(super) struct RequestEntry {
     pub(super) request: Rc<UpstreamRequest>,
-    /// The settings that it was admitted under.
+    /// The settings that the request was admitted under.
     pub(super) settings: Rc<ResolvedSettings>,
-    /// Place of its class in them.
+    /// The index of its class in these settings.
     pub(super) class: u16,
     pub(super) received_at: Instant,
     pub(super) response: ResponseSlot,
-    /// By their numbers.
+    /// The attempts, indexed by attempt number.
     pub(super) attempts: Vec<AttemptRecord>,
 }
 
 impl RequestEntry {
-    /// Gives the answer if one is still pending.
+    /// Sends the answer to the client if one is still pending.
     pub(super) fn answer(&mut self, answer: Answer) {
         if let ResponseSlot::Pending { answer: client, .. } = self.complete() {
-            // A client that has just disconnected takes no answer; its disconnect is an event of its own.
+            // Sending fails if the client has just disconnected; the disconnect is a separate event.
             let _ = client.send(answer);
         }
     }
 
-    /// From now on no answer is pending; returns what was.
+    /// Completes the request without an answer and returns the previous state.
     pub(super) fn complete(&mut self) -> ResponseSlot {
         std::mem::replace(&mut self.response, ResponseSlot::Completed)
     }
@@ -75,7 +75,7 @@
         matches!(self.response, ResponseSlot::Pending { .. })
     }
 
-    /// Whether an answer is pending that nobody is there to take.
+    /// Returns whether an answer is pending although the client has disconnected.
     pub(super) fn is_client_disconnected(&self) -> bool {
         match &self.response {
             ResponseSlot::Pending { is_client_connected, .. } => !is_client_connected(),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// What tells an attempt whether it is still wanted; none if no answer is pending.
+    /// Returns the guard that tells an attempt whether it may be sent, or `None` if no answer is pending.
     pub(super) fn send_guard(&self) -> Option<WeakSendGuard> {
         match &self.response {
             ResponseSlot::Pending { is_client_connected, .. } => Some(Rc::downgrade(is_client_connected)),
@@ -91,14 +91,14 @@
         }
     }
 
-    /// Whether nothing more will happen to it.
+    /// Returns whether no answer is pending and no attempt is in flight.
     fn is_finished(&self) -> bool {
         let is_finished = |attempt: &AttemptRecord| matches!(attempt.state, AttemptState::Finished { .. });
         !self.is_pending() && self.attempts.iter().all(is_finished)
     }
 
-    /// Notes the end of an attempt whose response was held here for a time; returns its backend and how long that took,
-    /// none if it was not in flight.
+    /// Records the end of an attempt. `held_for` is the time for which the proxy held the response; the
+    /// latency excludes it. Returns the backend and the latency, or `None` if the attempt was not in flight.
     pub(super) fn finish_attempt(
         &mut self,
         number: usize,
@@ -112,7 +112,7 @@
         Some((attempt.backend, latency))
     }
 
-    /// What the balancer is told of an attempt that ended.
+    /// Creates the event that reports the end of an attempt to the balancer.
     pub(super) fn attempt_event(
         &self,
         request: RequestId,
@@ -122,7 +122,7 @@
         latency: Duration,
     ) -> Event {
         let upload = self.request.upload();
-        // What its client took to write the body is none of the backend's time.
+        // The time that the client took to send the body is not part of the backend's latency.
         let completed_at = upload.and_then(|upload| upload.status().completed_at());
         let latency = completed_at.map_or(latency, |completed_at| latency.min(completed_at.elapsed()));
         Event::AttemptFinished(AttemptResult {
@@ -137,7 +137,7 @@
     }
 }
 
-/// The open requests, by their ids.
+/// The open requests by id.
 pub(super) struct RequestTable {
     requests: HashMap<RequestId, RequestEntry>,
     next_id: RequestId,
@@ -171,18 +171,18 @@
         self.requests.keys().copied().collect()
     }
 
-    /// Those whose answer is pending.
+    /// Returns the requests whose answer is pending.
     pub(super) fn pending(&self) -> impl Iterator<Item = &RequestEntry> {
         self.requests.values().filter(|entry| entry.is_pending())
     }
 
-    /// The backends that open requests were sent to.
+    /// Returns the backends that open requests were sent to.
     pub(super) fn backends(&self) -> HashSet<BackendId> {
         let attempts = self.requests.values().flat_map(|entry| &entry.attempts);
         attempts.map(|attempt| attempt.backend).collect()
     }
 
-    /// Gives a request its answer if one is still pending.
+    /// Answers a request if its answer is still pending.
     pub(super) fn answer(&mut self, id: RequestId, answer: Answer) {
         if let Some(entry) = self.requests.get_mut(&id) {
             entry.answer(answer);
@@ -190,20 +190,20 @@
         self.remove_if_finished(id);
     }
 
-    /// Forgets a request once nothing more will happen to it.
+    /// Removes a request that is answered and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(RequestEntry::is_finished) {
             self.requests.remove(&id);
         }
     }
 
-    /// Cancels an attempt, if it is in flight and was not cancelled.
+    /// Cancels an attempt if it is in flight and not cancelled yet.
     pub(super) fn cancel(&mut self, id: RequestId, number: AttemptNumber) {
         let entry = self.requests.get_mut(&id);
         let attempt = entry.and_then(|entry| entry.attempts.get_mut(usize::from(number)));
         let Some(AttemptRecord { state: AttemptState::InFlight(in_flight), .. }) = attempt else { return };
         if let Some(cancel) = in_flight.cancel.take() {
-            // One that has just ended needs no cancel.
+            // Sending fails if the attempt has just ended.
             let _ = cancel.send(());
         }
     }
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! The way of a request through the dispatcher, from its arrival to its one answer.
+//! The life of a request in the dispatcher, from its arrival to its final answer.
 
 use super::endpoint_table::hash_str;
 use super::messages::{Answer, IncomingRequest};
@@ -14,7 +14,8 @@
 use tokio::time::{Instant, sleep_until};
 
 impl Dispatcher {
-    /// Takes a request and waits for its one answer. Dropped before that, the client has disconnected.
+    /// Dispatches a request and waits for its final answer. If the future is dropped before that, the client
+    /// has disconnected.
     pub async fn dispatch(self: &Rc<Self>, incoming: IncomingRequest) -> Answer {
         let timeout = self.timeout(&incoming);
         let answer_by = incoming.received_at + timeout;
@@ -44,9 +45,11 @@
         }
         tokio::select! {
             biased;
-            // None comes to a client that has disconnected; its connection, which is about to notice, ends this.
+            // A client that has disconnected gets no answer; its connection is about to notice that and drops
+            // this future.
             Ok(answer) = answer => answer,
-            // The balancer answers in time; this guards against a late loop and against its silence.
+            // The balancer usually answers earlier. This limit covers a delayed event loop and a balancer
+            // without an answer.
             () = sleep_until(answer_by - TIMEOUT_MARGIN.min(timeout)) => {
                 client.is_timed_out.set(true);
                 Answer::TimedOut
@@ -54,7 +57,7 @@
         }
     }
 
-    /// How long a request may last, from when it was received.
+    /// Returns how long a request may last, counted from its receipt.
     fn timeout(&self, incoming: &IncomingRequest) -> Duration {
         let timeout = incoming.client_timeout + incoming.body_extension;
         match self.stop_at.get() {
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Opens a request; none if there are too many.
+    /// Adds a request to the table. Returns `None` if too many requests are open.
     fn admit(&self, incoming: IncomingRequest) -> Option<(RequestId, oneshot::Receiver<Answer>)> {
         let state = &mut *self.state.borrow_mut();
         let settings = self.settings();
@@ -84,7 +87,8 @@
         Some((request, answer))
     }
 
-    /// Answers what is still pending by then, and takes nothing that would last longer.
+    /// Sets the time of a planned stop: requests that are still pending then time out, and new ones get no
+    /// more time than that.
     pub fn stop_by(self: &Rc<Self>, stop_at: Instant) {
         self.stop_at.set(Some(stop_at));
         let dispatcher = self.clone();
@@ -100,7 +104,7 @@
         let state = &mut *self.state.borrow_mut();
         let requests = state.requests.ids();
         for &request in &requests {
-            state.log_request(request, "out of time at a planned stop");
+            state.log_request(request, "timed out by the planned stop");
             if let Some(entry) = state.requests.get_mut(request) {
                 entry.answer(Answer::TimedOut);
             }
@@ -109,16 +113,16 @@
     }
 }
 
-/// A client that waits. When it is gone without an answer, the balancer is told.
+/// A waiting client. If this is dropped while the answer is pending, the balancer is told of the disconnect.
 struct ClientGuard {
     dispatcher: Rc<Dispatcher>,
     request: RequestId,
-    /// Whether it was answered as timed out, which the balancer takes for a disconnect.
+    /// Whether the client was answered with a timeout, which the balancer handles as a disconnect.
     is_timed_out: Cell<bool>,
 }
 
 impl ClientGuard {
-    /// Whether an answer was pending, which is not any more.
+    /// Completes the request and returns whether its answer was pending.
     fn complete(&self) -> bool {
         let state = &mut *self.dispatcher.state.borrow_mut();
         let reason = if self.is_timed_out.get() { "timed out" } else { "client disconnected" };
--- a/crates/proxy/src/dispatcher/tests.rs
+++ b/crates/proxy/src/dispatcher/tests.rs
@@ -67,7 +67,8 @@
     EndpointListUpdate { kind, origin: ListOrigin::Watch, version: 1, endpoints, is_older: false }
 }
 
-/// A stop waits for as long as what was admitted may last by the settings that it was admitted under.
+/// Guards against a planned stop that ends too early after a change of the settings: it must wait for as long
+/// as the settings allow that the pending requests were admitted under.
 #[tokio::test]
 async fn requests_keep_the_settings_they_were_admitted_under() {
     let (dispatcher, tasks) = (dispatcher(), LocalSet::new());
@@ -114,7 +115,7 @@
                 }
                 assert_eq!(dispatcher.state.borrow().endpoints.counts(), (1, 1), "after {n}");
             }
-            // One that an open request was sent to stays known until the request is closed.
+            // A backend that an open request was sent to is kept until the request is closed.
             let backend = dispatcher.state.borrow().endpoints.id("s-100");
             let mut entry = entry(dispatcher.settings(), ResponseSlot::Completed);
             let (outcome, latency) = (Outcome::Error, Duration::from_secs(1));
--- a/crates/scale-test/src/soak/rules.rs
+++ b/crates/scale-test/src/soak/rules.rs
@@ -478,7 +478,7 @@
     "failed after",
     "client disconnected",
     "aborted by its client",
-    "out of time at a planned stop",
+    "timed out by the planned stop",
     "lines of this log were lost",
     " rejected ",
     " failed ",
