--- a/crates/proxy/src/discovery_task.rs
+++ b/crates/proxy/src/discovery_task.rs
@@ -1,4 +1,4 @@
-//! Follows discovery, and follows it elsewhere when a new configuration says so.
+//! Follows discovery, and moves to another address when a new configuration names one.
 
 use crate::config::reload::{ReloadOutcome, Reloader};
 use crate::dispatcher::{Dispatcher, duration_from_ms};
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, spawn_local};
 
-/// The task that follows discovery, which begins anew when its address changes.
+/// The task that follows discovery. It is replaced when the address changes.
 pub struct DiscoveryTask {
     dispatcher: Rc<Dispatcher>,
     newest_version: Rc<Cell<u64>>,
@@ -20,7 +20,7 @@
 }
 
 impl DiscoveryTask {
-    /// Begins to follow discovery at an address.
+    /// Starts to follow discovery at an address.
     pub fn start(
         dispatcher: Rc<Dispatcher>,
         address: SocketAddr,
@@ -31,8 +31,8 @@
         DiscoveryTask { dispatcher, newest_version, poll_requests, task }
     }
 
-    /// Follows another address. The old watch ends at once, with its connection and its version: the new address is
-    /// polled for the whole list.
+    /// Moves to another address. The old watch is aborted with its connection and its version, so the new
+    /// address is polled for the full list.
     fn restart(&mut self, address: SocketAddr) {
         self.task.abort();
         self.task = spawn_follow(&self.dispatcher, address, &self.newest_version, &self.poll_requests);
@@ -57,8 +57,8 @@
     spawn_local(follow(dispatcher.clone(), options))
 }
 
-/// Reads the configuration again on every SIGHUP, also while the program stops: the old address of discovery is about
-/// to fall silent. A file that could not be read is read until it can be, or until the next signal.
+/// Reloads the configuration on every SIGHUP, also during a planned stop, since the old address of discovery
+/// may stop responding. A file that can't be read is read again until it can be, or until the next signal.
 pub async fn follow_reloads(mut reload: Signal, reloader: Reloader, mut discovery: DiscoveryTask) {
     let mut retry = RetryTimer::idle();
     loop {
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -1,41 +1,41 @@
-//! Why the proxy does not start, or ends.
+//! Errors that prevent the start of the proxy or end it.
 
 use crate::config::ConfigError;
 use foldhitch_balancer::api::SettingsError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the proxy does not start, or ends.
+/// An error that prevents the start of the proxy or ends it.
 #[derive(Debug, thiserror::Error)]
 pub enum ProxyError {
-    /// The configuration can't be used.
+    /// The configuration is invalid or can't be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The balancer can't work by the settings.
+    /// The balancer rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The system gives no reactor or timer.
-    #[error("runtime: {0}")]
+    /// The tokio runtime could not be created.
+    #[error("cannot create the runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// A signal can't be waited for.
-    #[error("{signal}: {source}")]
+    /// A signal handler could not be installed.
+    #[error("cannot handle {signal}: {source}")]
     Signal {
-        /// The signal.
+        /// The name of the signal.
         signal: &'static str,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// An address can't be listened at.
-    #[error("{what}: {address}: {source}")]
+    /// An address could not be bound or listened on.
+    #[error("{what}: cannot listen on {address}: {source}")]
     Listen {
-        /// What it is for.
+        /// The configuration key of the address.
         what: &'static str,
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The task that serves clients has failed.
-    #[error("listener: {0}")]
+    /// The task that serves clients panicked or was cancelled.
+    #[error("the listener failed: {0}")]
     Server(#[from] tokio::task::JoinError),
 }
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -1,5 +1,5 @@
-//! The log, standard error. Whoever should read it may have gone or stopped reading, and neither may end or stop the
-//! program: a line that can't be written at once is lost.
+//! The log, which is written to standard error. A reader that stops reading or exits must neither block nor
+//! end the program, so a line that can't be written at once is lost.
 
 use libc::O_NONBLOCK;
 use std::cell::Cell;
@@ -8,25 +8,26 @@
 use std::io::{Write, stderr};
 use std::os::unix::fs::OpenOptionsExt;
 
-/// So many bytes go into a pipe in one piece or not at all.
+/// The maximum length of a line in bytes: a write of up to this size to a pipe is atomic.
 const MAX_LINE_BYTES: usize = 4096;
 
 thread_local! {
-    /// Standard error opened once more, so that not to wait is this program's affair alone: whoever it has it from
-    /// shares its mode. None where it can't be, as a socket.
+    /// Standard error, opened a second time so that `O_NONBLOCK` affects this program only: the inherited
+    /// descriptor shares its flags with the process that it comes from. `None` if it can't be opened again,
+    /// as for a socket.
     static LOG: Option<File> =
         OpenOptions::new().append(true).custom_flags(O_NONBLOCK).open("/proc/self/fd/2").ok();
-    /// Lines lost since the last one that was written.
+    /// The number of lines lost since the last written one.
     static LOST: Cell<u64> = const { Cell::new(0) };
 }
 
-/// Writes a line.
+/// Writes a formatted line to the log.
 macro_rules! log {
     ($($text:tt)*) => { $crate::log::write(format_args!($($text)*)) };
 }
 pub(crate) use log;
 
-/// Writes a line in one piece, cut to what surely fits.
+/// Writes a line in a single write, truncated to [`MAX_LINE_BYTES`].
 pub fn write(line: Arguments<'_>) {
     let lost = LOST.get();
     if lost > 0 && try_write(format!("foldhitch-proxy: {lost} lines of this log were lost")) {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,5 @@
-//! foldhitch-proxy: an HTTP/1.1 proxy that carries out the decisions of the balancer on sockets. It reports what
-//! happens and decides nothing.
+//! foldhitch-proxy: an HTTP/1.1 proxy that carries out the decisions of the balancer on sockets and reports
+//! events to it. It makes no load balancing decisions itself.
 
 mod admin;
 mod config;
@@ -39,7 +39,7 @@
 }
 
 async fn run() -> Result<(), ProxyError> {
-    // Before all else: an earlier signal would end the process.
+    // Signal handlers come first: a signal that arrives before them would end the process.
     let mut terminate = subscribe_to_signal("SIGTERM", SignalKind::terminate())?;
     let reload = subscribe_to_signal("SIGHUP", SignalKind::hangup())?;
     let (config, known_endpoints) = tokio::select! {
--- a/crates/proxy/src/resource_limits.rs
+++ b/crates/proxy/src/resource_limits.rs
@@ -1,22 +1,23 @@
-//! How descriptors and memory are divided. Processes that act as one proxy share what the configuration allows.
+//! Divides descriptors and memory among the processes that serve as one proxy and share its limits.
 
 use crate::admin;
 use crate::config::Config;
 use crate::downstream::{ClientLimits, MAX_REJECTING_CONNECTIONS};
 
-/// Descriptors that are neither clients' nor backends' connections: standard streams, the listener, the reactor,
+/// Descriptors that are not connections of clients or backends: standard streams, the listener, the reactor,
 /// signals, and discovery.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// With an admin API as many again: its connections, its listener, and the folder of markers.
+/// Further descriptors for an admin API: its connections, its listener, and the folder of the marker files.
 const ADMIN_DESCRIPTORS: usize = admin::MAX_CONNECTIONS + 4;
-/// Connections that are left to a process where descriptors are short.
+/// The minimum number of connections of a process, even if descriptors are short.
 const MIN_CONNECTIONS: usize = 4;
-/// Connections past the limit that are accepted only to be rejected get this part of the descriptors at the most.
+/// Connections past the limit, accepted only to be rejected, get at most this part (1/n) of the descriptors.
 const REJECTING_DESCRIPTORS_DIVISOR: usize = 3;
-/// The bodies of open requests may fill one such part of the memory; the rest is for buffers, responses and the program.
+/// The bodies of open requests may use this fraction (1/n) of the memory; the rest is for buffers, responses
+/// and the program.
 const BODY_MEMORY_DIVISOR: usize = 4;
 
-/// What a proxy may hold, over all its processes.
+/// The resource limits of a proxy over all its processes.
 #[derive(Debug, Clone, Copy)]
 pub struct ResourceLimits {
     max_descriptors: usize,
@@ -25,7 +26,7 @@
 }
 
 impl ResourceLimits {
-    /// The limits of a configuration.
+    /// Creates the limits of a configuration.
     pub fn new(config: &Config) -> Self {
         let admin_descriptors = if config.admin.is_some() { ADMIN_DESCRIPTORS } else { 0 };
         ResourceLimits {
@@ -35,13 +36,13 @@
         }
     }
 
-    /// Most connections to backends of one of so many processes. Each request holds a connection on either side; idle
-    /// ones fill what is left.
+    /// Returns the maximum number of connections to backends for one of `processes` processes. Each request
+    /// holds one connection on either side; idle connections use the remainder.
     pub fn upstream_connections(&self, processes: usize) -> usize {
         self.connections(processes) / 2
     }
 
-    /// What the clients of one of so many processes may hold.
+    /// Returns the limits for the clients of one of `processes` processes.
     pub fn client_limits(&self, processes: usize) -> ClientLimits {
         ClientLimits {
             max_connections: self.connections(processes) - self.upstream_connections(processes),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Descriptors of one of so many processes that are for connections.
+    /// Returns the number of descriptors for connections of one of `processes` processes.
     fn connection_descriptors(&self, processes: usize) -> usize {
         (self.max_descriptors / processes).saturating_sub(self.reserved_descriptors)
     }
--- a/crates/proxy/src/retry.rs
+++ b/crates/proxy/src/retry.rs
@@ -1,33 +1,33 @@
-//! Failures that may pass: when what failed is tried again.
+//! Retries of operations that failed with a transient error.
 
 use std::future::pending;
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// After the first failure; twice as long after each further one.
+/// The delay after the first failure; it doubles after each further one.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The longest time between two tries.
+/// The maximum delay between two attempts.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The next try of something that has failed, if one is due.
+/// The time of the next retry, if one is scheduled.
 pub struct RetryTimer {
     due_at: Option<Instant>,
     next_delay: Duration,
 }
 
 impl RetryTimer {
-    /// No try is due.
+    /// Creates a timer without a scheduled retry.
     pub fn idle() -> Self {
         RetryTimer { due_at: None, next_delay: MIN_RETRY_DELAY }
     }
 
-    /// It has failed and is to be tried again, each time after a longer delay.
+    /// Schedules a retry after a failure. The delay doubles with each call, up to a maximum.
     pub fn schedule(&mut self) {
         self.due_at = Some(Instant::now() + self.next_delay);
         self.next_delay = (self.next_delay * 2).min(MAX_RETRY_DELAY);
     }
 
-    /// Waits until the next try is due; for ever if none is.
+    /// Waits until the next retry is due, or forever if none is scheduled.
     pub async fn wait(&self) {
         match self.due_at {
             Some(due_at) => sleep_until(due_at).await,
@@ -36,7 +36,8 @@
     }
 }
 
-/// Tries until it succeeds, fails for good, or has failed for so long. `on_failure` gets the first failure that may pass.
+/// Repeats `attempt` until it succeeds, fails with an error that is not transient, or `timeout` has passed.
+/// Calls `on_failure` with the first transient error.
 pub async fn retry_for<T, E>(
     timeout: Duration,
     attempt: impl Fn() -> Result<T, E>,
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop, as named steps: not ready, no more connections, idle connections closed, the end.
+//! The steps of a planned stop: no longer ready, no new connections, idle connections closed, exit.
 
 use crate::dispatcher::{Dispatcher, duration_from_ms};
 use crate::downstream::ListenerPhase;
@@ -9,19 +9,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// After SIGTERM new connections come for so long.
+/// How long new connections may still arrive after SIGTERM.
 const ACCEPT_DELAY: Duration = Duration::from_millis(500);
-/// A kill follows SIGTERM no sooner than the longest client timeout, of which no more than this counts ...
+/// A kill follows SIGTERM no sooner than the longest client timeout, which counts up to this maximum, plus
+/// [`KILL_MARGIN`].
 const MAX_COUNTED_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// ... and this: all that was admitted must be answered clearly earlier.
+/// Added to the longest client timeout: all admitted requests must be answered clearly before a kill.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long a planned stop takes.
+/// The durations of a planned stop.
 struct StopTimes {
-    /// All must be answered by then.
+    /// The time within which all requests must be answered.
     answer_within: Duration,
-    /// Clients may go on using the connections that they have: others may be down too, so for as long as a request
-    /// still has the time in which its answer is wanted.
+    /// How long clients may continue to use their connections. Other instances may be down as well, so this
+    /// lasts for as long as a request can still meet its latency objective.
     keep_connections_for: Duration,
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Stops a proxy: answers what is pending, and ends when the last connection is closed.
+/// Stops a proxy: answers the pending requests, and returns when the last connection is closed.
 pub async fn stop(proxy: RunningProxy) -> Result<(), ProxyError> {
     let RunningProxy { dispatcher, admin, phase, serving } = proxy;
     log!("stopping, {} requests open", dispatcher.pending_requests());
@@ -61,7 +62,7 @@
     }
     sleep(times.keep_connections_for.saturating_sub(ACCEPT_DELAY)).await;
     phase.send_replace(ListenerPhase::ClosingIdle);
-    // All is answered by then; a client that does not take its answer must not keep the program.
+    // All requests are answered by then; a client that does not read its answer must not delay the exit.
     match timeout_at(stop_at + ACCEPT_DELAY, serving).await {
         Ok(served) => Ok(served?),
         Err(_) => Ok(()),
--- a/crates/proxy/src/startup.rs
+++ b/crates/proxy/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start, as named steps: dispatcher, admin API, discovery, listener.
+//! The steps of the start: dispatcher, admin API, discovery, listener.
 
 use crate::admin::AdminServer;
 use crate::config::reload::{ReloadStatus, Reloader};
@@ -27,34 +27,36 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
 
-/// Clients that the system keeps waiting to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// How often idle connections are looked through for old ones, and backends for those that are gone.
+/// The interval at which expired idle connections are closed and stale backends are removed.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A failure that may pass delays a start for so long.
+/// How long a start retries after a transient failure.
 const START_RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A proxy that has started.
 pub struct RunningProxy {
-    /// The only owner of the balancer.
+    /// The sole owner of the balancer.
     pub dispatcher: Rc<Dispatcher>,
-    /// The admin API, where there is one.
+    /// The admin API, if one is configured.
     pub admin: Option<Rc<AdminServer>>,
-    /// How far a planned stop has come.
+    /// The phase of the listener during a planned stop.
     pub phase: watch::Sender<ListenerPhase>,
-    /// Serves clients until all connections are closed.
+    /// The task that serves clients until all connections are closed.
     pub serving: JoinHandle<()>,
 }
 
-/// Reads the configuration, and the endpoint list that it brings. A file that can't be read is read again for a while;
-/// one that is no configuration ends the start at once.
+/// Reads the configuration and the endpoint list in it. A file that can't be read is read again for up to
+/// [`START_RETRY_TIMEOUT`]; an invalid configuration ends the start at once.
 pub async fn load_config() -> Result<(Config, Option<DiscoveryResponse>), ConfigError> {
-    let on_failure = |error: &ConfigError| log!("{error}; it is read again for a while");
+    let on_failure = |error: &ConfigError| {
+        log!("{error}; reading the file again for up to {START_RETRY_TIMEOUT:?}");
+    };
     retry_for(START_RETRY_TIMEOUT, config::load, ConfigError::is_unreadable, on_failure).await
 }
 
-/// Starts everything; nothing if the proxy was told to stop before it could serve.
+/// Starts the proxy. Returns `None` if SIGTERM arrived before it could serve.
 pub async fn start(
     config: Config,
     known_endpoints: Option<DiscoveryResponse>,
@@ -100,7 +102,7 @@
     }
 }
 
-/// Takes the endpoint list that the configuration brings, until discovery has answered.
+/// Applies the endpoint list of the configuration, which is used until discovery has responded.
 fn apply_known_endpoints(dispatcher: &Rc<Dispatcher>, known: Option<DiscoveryResponse>) {
     let version = known.as_ref().map_or(0, DiscoveryResponse::version);
     let ParsedEndpoints { endpoints, skipped } =
@@ -113,7 +115,7 @@
     dispatcher.update_endpoints(EndpointListUpdate { kind, origin, version, endpoints, is_older: false });
 }
 
-/// Starts the admin API, and follows the markers that are made at that of another process.
+/// Starts the admin API and the task that applies the marker files that other processes create.
 async fn start_admin(
     address: SocketAddr,
     dispatcher: &Rc<Dispatcher>,
@@ -134,8 +136,8 @@
     Ok(server)
 }
 
-/// Clients that another process serves are not accepted before they can be served here. False if the proxy was told to
-/// stop before.
+/// During an upgrade, when other processes serve as this proxy, waits until a backend is ready, so that
+/// clients are not accepted before they can be served. Returns `false` if SIGTERM arrived first.
 async fn wait_for_endpoint_during_upgrade(dispatcher: &Dispatcher, terminate: &mut Signal) -> bool {
     let mut process_count = dispatcher.process_count();
     while *process_count.borrow_and_update() > 1 && !dispatcher.has_ready_endpoint() {
@@ -147,10 +149,14 @@
     true
 }
 
-/// Listens at an address. What the system refuses for a moment, as while a process before still holds the address, is
-/// tried again for a while.
+/// Listens on an address. If that fails, for example because a previous process still holds the address, it
+/// is tried again for up to [`START_RETRY_TIMEOUT`].
 async fn listen(what: &'static str, address: SocketAddr, is_shared: bool) -> Result<TcpListener, ProxyError> {
-    let on_failure = |error: &io::Error| log!("{what}: {address}: {error}; it is bound again for a while");
+    let on_failure = |error: &io::Error| {
+        log!(
+            "{what}: cannot listen on {address}: {error}; binding it again for up to {START_RETRY_TIMEOUT:?}"
+        );
+    };
     let listener = retry_for(START_RETRY_TIMEOUT, || bind(address, is_shared), |_| true, on_failure).await;
     listener.map_err(|source| ProxyError::Listen { what, address, source })
 }
@@ -163,7 +169,7 @@
     listener.local_addr().map_err(|source| ProxyError::Listen { what, address, source })
 }
 
-/// Binds an address; where another process of this proxy may do so too, beside it.
+/// Binds an address and listens on it. If `is_shared`, other processes of this proxy may bind it too.
 fn bind(address: SocketAddr, is_shared: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -174,7 +180,7 @@
     socket.listen(LISTEN_BACKLOG)
 }
 
-/// Closes old idle connections and forgets backends that are gone, for ever.
+/// Closes expired idle connections and removes stale backends, at regular intervals.
 async fn maintain(dispatcher: Rc<Dispatcher>, pool: Rc<ConnectionPool>) {
     loop {
         sleep(MAINTENANCE_INTERVAL).await;
@@ -183,12 +189,12 @@
     }
 }
 
-/// How many processes share what the proxy may hold.
+/// Returns the number of processes that share the resource limits of the proxy.
 fn sharing_count(dispatcher: &Dispatcher) -> usize {
     *dispatcher.sharing_count().borrow() as usize
 }
 
-/// Keeps to this process's part of what the proxy may hold, as processes come and go.
+/// Adjusts this process's share of the resource limits as processes start and end.
 async fn share_limits(
     mut sharing_count: watch::Receiver<u32>,
     limits: ResourceLimits,
--- a/crates/proxy/tests/start_faults.rs
+++ b/crates/proxy/tests/start_faults.rs
@@ -25,7 +25,7 @@
         let calls = FailingCalls::none();
         calls.fail("open", error);
         let mut starting = StartingProxy::spawn(&config, &calls.command());
-        starting.logged("read again").await;
+        starting.logged("reading the file again").await;
         calls.succeed();
         let proxy = starting.listening().await;
         discovery.wait_until_applied().await;
@@ -41,7 +41,7 @@
         let calls = FailingCalls::none();
         calls.fail("bind", error);
         let mut starting = StartingProxy::spawn(&config, &calls.command());
-        starting.logged("bound again").await;
+        starting.logged("binding it again").await;
         calls.succeed();
         let proxy = starting.listening().await;
         discovery.wait_until_applied().await;
@@ -56,7 +56,7 @@
     let calls = FailingCalls::none();
     calls.fail("open", Errno::EIO);
     let mut starting = StartingProxy::spawn(&config, &calls.command());
-    starting.logged("read again").await;
+    starting.logged("reading the file again").await;
     starting.kill("-HUP").await;
     calls.succeed();
     let proxy = starting.listening().await;
