--- a/crates/discovery-client/src/client.rs
+++ b/crates/discovery-client/src/client.rs
@@ -1,4 +1,4 @@
-//! One poll of discovery over a connection that is kept.
+//! A single poll of the discovery service over a keep-alive connection.
 
 use crate::endpoint_list::DiscoveryResponse;
 use crate::error::DiscoveryError;
@@ -16,87 +16,88 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// Longest list.
+/// The maximum size of a response body, in bytes.
 const MAX_LIST_BYTES: usize = 8 << 20;
-/// How long discovery may wait for a change after a failed poll: it is only asked what there is.
+/// The time that discovery may wait for a change after a failed poll: the minimum, so that it returns its
+/// current state at once.
 const WAIT_AFTER_FAILURE: Duration = Duration::from_millis(1);
 
-/// A connection to discovery.
+/// An HTTP/1.1 connection to discovery.
 pub(crate) type Connection = SendRequest<Empty<Bytes>>;
 
-/// What is polled for.
+/// The kind of a poll.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum PollKind {
-    /// The whole list.
+    /// Polls the full list.
     List,
-    /// Changes after a version, for which discovery may wait.
+    /// Watches for changes after a version, for which discovery may hold the request open.
     Watch {
-        /// The version that is held.
+        /// The version of the current list.
         version: u64,
-        /// Whether the poll before failed.
+        /// Whether the previous poll failed.
         is_retry: bool,
     },
 }
 
 impl PollKind {
-    /// The version that the answer must not be older than.
-    pub(crate) fn version(self) -> Option<u64> {
+    /// Returns the version that the response must not be older than.
+    pub(crate) fn known_version(self) -> Option<u64> {
         match self {
             PollKind::List => None,
             PollKind::Watch { version, .. } => Some(version),
         }
     }
 
-    /// How long discovery may wait for a change.
-    pub(crate) fn wait(self, timeouts: WatchTimeouts) -> Duration {
+    /// Returns how long discovery may wait for a change.
+    pub(crate) fn max_wait(self, timeouts: WatchTimeouts) -> Duration {
         match self {
             PollKind::List => Duration::ZERO,
             PollKind::Watch { is_retry: true, .. } => WAIT_AFTER_FAILURE,
-            PollKind::Watch { is_retry: false, .. } => timeouts.watch,
+            PollKind::Watch { is_retry: false, .. } => timeouts.watch_wait,
         }
     }
 }
 
-/// What a poll waits for.
+/// The stage of a poll in progress.
 #[derive(Debug, Clone, Copy)]
 enum PollStage {
     Connecting,
-    AwaitingAnswer,
-    ReadingAnswer,
+    AwaitingHead,
+    ReadingBody,
 }
 
-/// How far a poll has come.
+/// The progress of a poll.
 pub(crate) struct PollProgress {
     stage: Cell<PollStage>,
-    /// When what it waits for is overdue.
+    /// The time at which the current stage is overdue.
     overdue_at: Cell<Instant>,
 }
 
 impl PollProgress {
-    fn new(overdue_after: Duration) -> Self {
-        let overdue_at = Instant::now() + overdue_after;
+    fn new(time_limit: Duration) -> Self {
+        let overdue_at = Instant::now() + time_limit;
         PollProgress { stage: Cell::new(PollStage::Connecting), overdue_at: Cell::new(overdue_at) }
     }
 
-    fn enter(&self, stage: PollStage, overdue_after: Duration) {
+    fn enter(&self, stage: PollStage, time_limit: Duration) {
         self.stage.set(stage);
-        self.overdue_at.set(Instant::now() + overdue_after);
+        self.overdue_at.set(Instant::now() + time_limit);
     }
 
-    /// Waits until the poll is overdue in the stage that it has come to; returns what is late.
-    pub(crate) async fn overdue(&self, address: SocketAddr) -> DiscoveryError {
+    /// Waits until the current stage is overdue, and returns the matching timeout error.
+    pub(crate) async fn wait_until_overdue(&self, address: SocketAddr) -> DiscoveryError {
         while Instant::now() < self.overdue_at.get() {
             sleep_until(self.overdue_at.get()).await;
         }
         match self.stage.get() {
             PollStage::Connecting => DiscoveryError::ConnectTimeout { address },
-            PollStage::AwaitingAnswer => DiscoveryError::AnswerTimeout,
-            PollStage::ReadingAnswer => DiscoveryError::IncompleteAnswer,
+            PollStage::AwaitingHead => DiscoveryError::ResponseTimeout,
+            PollStage::ReadingBody => DiscoveryError::BodyTimeout,
         }
     }
 }
 
-/// A poll that is to be made.
+/// A poll that has not been sent yet.
 pub(crate) struct Poll {
     address: SocketAddr,
     timeouts: WatchTimeouts,
@@ -105,15 +106,15 @@
     progress: Rc<PollProgress>,
 }
 
-/// What a poll was answered.
+/// The response to a poll.
 pub(crate) struct PollAnswer {
     pub(crate) response: DiscoveryResponse,
-    /// For the next poll.
+    /// The connection, if the next poll can use it.
     pub(crate) connection: Option<Connection>,
 }
 
 impl Poll {
-    /// A poll over a connection that is kept, or else over a new one.
+    /// Creates a poll that uses `connection` if it is still open, and a new connection otherwise.
     pub(crate) fn new(
         address: SocketAddr,
         timeouts: WatchTimeouts,
@@ -121,7 +122,7 @@
         connection: Option<Connection>,
     ) -> Self {
         let connection = connection.filter(|connection| !connection.is_closed());
-        let progress = Rc::new(PollProgress::new(timeouts.answer));
+        let progress = Rc::new(PollProgress::new(timeouts.response_timeout));
         Poll { address, timeouts, kind, connection, progress }
     }
 
@@ -129,32 +130,33 @@
         self.progress.clone()
     }
 
-    /// Polls, for as long as discovery takes.
+    /// Sends the poll and waits for the response without a time limit.
     pub(crate) async fn run(mut self) -> Result<PollAnswer, DiscoveryError> {
-        let wait = self.kind.wait(self.timeouts);
-        let request = self.request(wait)?;
+        let max_wait = self.kind.max_wait(self.timeouts);
+        let request = self.request(max_wait)?;
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => connect(self.address).await?,
         };
-        self.progress.enter(PollStage::AwaitingAnswer, wait + self.timeouts.answer);
+        self.progress.enter(PollStage::AwaitingHead, max_wait + self.timeouts.response_timeout);
         let response = connection.send_request(request).await?;
         if response.status() != StatusCode::OK {
             return Err(DiscoveryError::Status(response.status()));
         }
-        // The wait is over once an answer has begun: one that stops short must not cost the whole of it again.
-        self.progress.enter(PollStage::ReadingAnswer, self.timeouts.answer);
+        // Discovery no longer waits for a change once the response has started, so a stalled body is overdue
+        // without another full wait.
+        self.progress.enter(PollStage::ReadingBody, self.timeouts.response_timeout);
         let body = read_body(response).await?;
         let is_reusable = connection.ready().await.is_ok();
-        let response = serde_json::from_slice(&body).map_err(DiscoveryError::List)?;
+        let response = serde_json::from_slice(&body).map_err(DiscoveryError::InvalidList)?;
         Ok(PollAnswer { response, connection: is_reusable.then_some(connection) })
     }
 
-    fn request(&self, wait: Duration) -> Result<Request<Empty<Bytes>>, DiscoveryError> {
+    fn request(&self, max_wait: Duration) -> Result<Request<Empty<Bytes>>, DiscoveryError> {
         let path = match self.kind {
             PollKind::List => "/registry/instances".to_string(),
             PollKind::Watch { version, .. } => {
-                format!("/registry/instances?after={version}&wait_ms={}", wait.as_millis())
+                format!("/registry/instances?after={version}&wait_ms={}", max_wait.as_millis())
             }
         };
         let request = Request::get(path).header(header::HOST, self.address.to_string());
@@ -173,7 +175,7 @@
     stream.set_nodelay(true).map_err(|source| DiscoveryError::Connect { address, source })?;
     let (connection, driver) = handshake(TokioIo::new(stream)).await?;
     tokio::task::spawn_local(async move {
-        // Its end shows at the sender.
+        // The request sender reports a closed connection.
         let _ = driver.await;
     });
     Ok(connection)
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop, as named steps: not ready, no more connections, idle connections closed, the end.
+//! The steps of a planned stop: no longer ready, no new connections, idle connections closed, exit.
 
 use crate::dispatcher::{Dispatcher, duration_from_ms};
 use crate::downstream::ListenerPhase;
@@ -9,19 +9,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// After SIGTERM new connections come for so long.
+/// How long new connections may still arrive after SIGTERM.
 const ACCEPT_DELAY: Duration = Duration::from_millis(500);
-/// A kill follows SIGTERM no sooner than the longest client timeout, of which no more than this counts ...
-const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
-/// ... and this: all that was admitted must be answered clearly earlier.
+/// A kill follows SIGTERM no sooner than the longest client timeout, which counts up to this maximum, plus
+/// [`KILL_MARGIN`].
+const MAX_COUNTED_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Added to the longest client timeout: all admitted requests must be answered clearly before a kill.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
 
-/// How long a planned stop takes.
+/// The durations of a planned stop.
 struct StopTimes {
-    /// All must be answered by then.
+    /// The time within which all requests must be answered.
     answer_within: Duration,
-    /// Clients may go on using the connections that they have: others may be down too, so for as long as a request
-    /// still has the time in which its answer is wanted.
+    /// How long clients may continue to use their connections. Other instances may be down as well, so this
+    /// lasts for as long as a request can still meet its latency objective.
     keep_connections_for: Duration,
 }
 
@@ -29,16 +30,20 @@
     fn new(dispatcher: &Dispatcher) -> Self {
         let client_timeout = |site: &SiteSettings| {
             let timeout = duration_from_ms(site.longest_client_timeout_ms);
-            if timeout.is_zero() { MAX_CLIENT_TIMEOUT } else { timeout.min(MAX_CLIENT_TIMEOUT) }
+            if timeout.is_zero() {
+                MAX_COUNTED_CLIENT_TIMEOUT
+            } else {
+                timeout.min(MAX_COUNTED_CLIENT_TIMEOUT)
+            }
         };
         let objective = |site: &SiteSettings| duration_from_ms(site.longest_latency_objective_ms);
-        let answer_within = dispatcher.longest(client_timeout) + KILL_MARGIN;
-        let keep_connections_for = answer_within.saturating_sub(dispatcher.longest(objective));
+        let answer_within = dispatcher.max_over_settings(client_timeout) + KILL_MARGIN;
+        let keep_connections_for = answer_within.saturating_sub(dispatcher.max_over_settings(objective));
         StopTimes { answer_within, keep_connections_for: keep_connections_for.max(ACCEPT_DELAY) }
     }
 }
 
-/// Stops a proxy: answers what is pending, and ends when the last connection is closed.
+/// Stops a proxy: answers the pending requests, and returns when the last connection is closed.
 pub async fn stop(proxy: RunningProxy) -> Result<(), ProxyError> {
     let RunningProxy { dispatcher, admin, phase, serving } = proxy;
     log!("stopping, {} requests open", dispatcher.pending_requests());
@@ -57,7 +62,7 @@
     }
     sleep(times.keep_connections_for.saturating_sub(ACCEPT_DELAY)).await;
     phase.send_replace(ListenerPhase::ClosingIdle);
-    // All is answered by then; a client that does not take its answer must not keep the program.
+    // All requests are answered by then; a client that does not read its answer must not delay the exit.
     match timeout_at(stop_at + ACCEPT_DELAY, serving).await {
         Ok(served) => Ok(served?),
         Err(_) => Ok(()),
