--- a/crates/proxy/tests/admin.rs
+++ b/crates/proxy/tests/admin.rs
@@ -35,10 +35,10 @@
 async fn scene_with(sockets: usize) -> Fixture {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
     let mut config = with_admin_api(&discovery);
     config["limits"]["sockets"] = sockets.into();
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     Fixture { script, a, b, discovery, proxy }
 }
@@ -59,7 +59,7 @@
     for _ in 0..2 {
         assert_eq!(s.proxy.call_admin("POST", "/v1/backends/a/suspend").await, 200);
     }
-    let lists = [vec![s.b.line("SERVING")], vec![s.a.line("SERVING"), s.b.line("SERVING")]];
+    let lists = [vec![s.b.endpoint("SERVING")], vec![s.a.endpoint("SERVING"), s.b.endpoint("SERVING")]];
     for list in lists.into_iter().cycle().take(4) {
         s.discovery.publish(list).await;
         for _ in 0..10 {
@@ -67,13 +67,13 @@
         }
     }
     // Where nothing else is left it is not a last resort either.
-    s.discovery.publish(vec![s.a.line("SERVING")]).await;
+    s.discovery.publish(vec![s.a.endpoint("SERVING")]).await;
     assert_eq!(s.proxy.call("look").await.0, 503);
     assert_eq!(s.script.requests_at("a"), 0);
     // One call back undoes both, and works while the list does not name it.
-    s.discovery.publish(vec![s.b.line("SERVING")]).await;
+    s.discovery.publish(vec![s.b.endpoint("SERVING")]).await;
     assert_eq!(s.proxy.call_admin("POST", "/v1/backends/a/resume").await, 200);
-    s.discovery.publish(vec![s.a.line("SERVING")]).await;
+    s.discovery.publish(vec![s.a.endpoint("SERVING")]).await;
     while s.proxy.call("look").await.0 != 200 {}
     assert_eq!(s.script.requests_at("a"), 1);
 }
@@ -84,7 +84,7 @@
     let s = fixture().await;
     assert_eq!(s.proxy.call_admin("POST", "/v1/backends/a/suspend").await, 200);
     assert_eq!(s.proxy.call_admin("POST", "/v1/proxy/drain").await, 200);
-    std::fs::write(s.proxy.folder.join("heathroad/stale"), [255]).expect("writable");
+    std::fs::write(s.proxy.temp_dir.join("heathroad/stale"), [255]).expect("writable");
     let other = s.proxy.start_beside(&with_admin_api(&s.discovery)).await;
     while other.call_admin("GET", "/v1/readyz").await != 200 {}
     assert_eq!(healthy(&other).await, 503);
@@ -118,12 +118,12 @@
     assert_eq!(s.proxy.call_admin("GET", "/v1/readyz").await, 200, "the process itself is well");
     // Requests on kept and new connections are served, each the last on its connection.
     assert_eq!(kept.call("look").await.0, 200);
-    in_time(kept.closed()).await;
+    in_time(kept.wait_until_closed()).await;
     let mut late = s.proxy.client().await;
     assert_eq!(late.call("look").await.0, 200);
-    in_time(late.closed()).await;
+    in_time(late.wait_until_closed()).await;
     // Those that say nothing are closed too. What may still come first on a new one has its answer.
-    in_time(idle.closed()).await;
+    in_time(idle.wait_until_closed()).await;
     let mut last_words = String::new();
     in_time(silent.read_to_string(&mut last_words)).await.expect("no reset");
     assert_eq!(last_words, REJECTED_FIRST_REQUEST);
@@ -182,8 +182,8 @@
 async fn a_mark_that_fails_is_never_a_yes() {
     let s = fixture().await;
     // What lies where the folder of markers would be can't be written to, and stops no start either.
-    std::fs::remove_dir_all(s.proxy.folder.join("heathroad")).expect("writable");
-    std::fs::write(s.proxy.folder.join("heathroad"), "a file").expect("writable");
+    std::fs::remove_dir_all(s.proxy.temp_dir.join("heathroad")).expect("writable");
+    std::fs::write(s.proxy.temp_dir.join("heathroad"), "a file").expect("writable");
     assert_eq!(s.proxy.call_admin("POST", "/v1/backends/a/suspend").await, 500);
     assert_eq!(s.proxy.call_admin("POST", "/v1/proxy/drain").await, 500);
     let other = s.proxy.start_beside(&with_admin_api(&s.discovery)).await;
@@ -200,7 +200,7 @@
     let proxy = Proxy::start(&s.discovery, settings()).await;
     while healthy(&proxy).await != 200 {}
     assert!(proxy.admin.is_none() && proxy.call("once").await.0 == 200);
-    assert!(!proxy.folder.join("heathroad").exists());
+    assert!(!proxy.temp_dir.join("heathroad").exists());
 }
 
 /// While two processes listen, both serve. The one that is told to stop answers all that reached it, each answer the
@@ -220,7 +220,7 @@
         clients.push(s.proxy.client().await);
     }
     let (hold, held) = (Arc::new(tokio::sync::Notify::new()), s.proxy.client().await);
-    s.script.give([BackendBehavior::Hold(hold.clone())]);
+    s.script.enqueue([BackendBehavior::Hold(hold.clone())]);
     let mut held = held;
     let held = tokio::spawn(async move { held.call("once").await });
     s.script.wait_for_requests(1).await;
@@ -234,11 +234,11 @@
     }
     hold.notify_one();
     assert_eq!(held.await.expect("no panic").0, 200);
-    assert!(s.proxy.ended().await.success());
+    assert!(s.proxy.wait_for_exit().await.success());
     for _ in 0..20 {
         assert_eq!(other.call("once").await.0, 200);
     }
-    let left = std::fs::read_dir(other.folder.join("heathroad")).expect("readable").count();
+    let left = std::fs::read_dir(other.temp_dir.join("heathroad")).expect("readable").count();
     assert!(left <= 2, "{left} files");
 }
 
@@ -248,20 +248,20 @@
     let s = fixture().await;
     let status = s.proxy.admin_json("/v1/discovery").await;
     assert_eq!((&status["list_version"], &status["failed_polls"]), (&1.into(), &0.into()), "{status}");
-    s.discovery.set(DiscoveryBehavior::Refusing).await;
+    s.discovery.set_behavior(DiscoveryBehavior::Refusing).await;
     let failed_polls = async || s.proxy.admin_json("/v1/discovery").await["failed_polls"].clone();
     in_time(async { while failed_polls().await.as_u64() < Some(3) {} }).await;
     let status = s.proxy.admin_json("/v1/discovery").await;
     assert_eq!(status["list_version"], 1, "{status}");
     assert!(status["last_answer_ms_ago"].as_f64() > Some(0.0), "{status}");
-    s.discovery.set(DiscoveryBehavior::Up).await;
+    s.discovery.set_behavior(DiscoveryBehavior::Up).await;
     in_time(async { while failed_polls().await != 0 {} }).await;
 }
 
 #[tokio::test]
 async fn a_rejected_request_is_logged_with_the_reason() {
     let mut s = fixture().await;
-    s.discovery.publish(vec![s.a.line("DRAINING"), s.b.line("DRAINING")]).await;
+    s.discovery.publish(vec![s.a.endpoint("DRAINING"), s.b.endpoint("DRAINING")]).await;
     assert_eq!(s.proxy.call("look").await.0, 503);
     let log = s.proxy.log.as_mut().expect("it is read");
     loop {
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -27,8 +27,8 @@
 async fn fixture() -> Fixture {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     Fixture { script, proxy, _discovery: discovery }
 }
 
@@ -59,7 +59,7 @@
 }
 
 /// Reads an answer and tells its status; nothing if the connection ends before. Served ones have a body of one byte.
-async fn status(stream: &mut TcpStream) -> Option<u16> {
+async fn read_status(stream: &mut TcpStream) -> Option<u16> {
     let mut answer = Vec::new();
     while !answer.ends_with(b"\r\n\r\n") {
         answer.push(in_time(stream.read_u8()).await.ok()?);
@@ -87,10 +87,10 @@
     for (n, (more, bytes, body)) in forms.into_iter().enumerate() {
         stream.write_all(&head(&n.to_string(), &more)).await.expect("taken");
         if more.contains("Expect") {
-            assert_eq!(status(&mut stream).await, Some(100));
+            assert_eq!(read_status(&mut stream).await, Some(100));
         }
         stream.write_all(&bytes).await.expect("taken");
-        assert_eq!(status(&mut stream).await, Some(200), "{more}");
+        assert_eq!(read_status(&mut stream).await, Some(200), "{more}");
         s.script.wait_for_requests(n + 1).await;
         assert!(s.script.seen.borrow()[n].2 == body, "{more}: not as it was sent");
     }
@@ -99,12 +99,12 @@
 #[tokio::test]
 async fn an_upload_that_is_spent_is_not_sent_again() {
     let s = fixture().await;
-    s.script.give([BackendBehavior::Decline(503)]);
+    s.script.enqueue([BackendBehavior::Decline(503)]);
     let call = request("once").body(Full::from(pattern(LARGE))).expect("well formed");
     assert_eq!(s.proxy.client().await.send(call).await.0, 503, "it never ran: its caller may come again");
     assert_eq!(s.script.seen.borrow().len(), 1);
     // The same of a body that is kept goes to the other.
-    s.script.give([BackendBehavior::Decline(503)]);
+    s.script.enqueue([BackendBehavior::Decline(503)]);
     let call = request("once").body(Full::from(pattern(64 * 1024))).expect("well formed");
     assert_eq!(s.proxy.client().await.send(call).await.0, 200);
     assert_eq!(s.script.seen.borrow().len(), 3);
@@ -114,15 +114,15 @@
 async fn an_upload_that_nobody_has_begun_goes_to_another_backend() {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
-    let (_held, nobody) = refusing();
-    let discovery = Discovery::start(vec![line("a", nobody, "SERVING"), b.line("SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let (_held, nobody) = bound_socket_without_listener();
+    let discovery = Discovery::start(vec![endpoint("a", nobody, "SERVING"), b.endpoint("SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     for n in 1..=8 {
         let call = request("once").body(Full::from(pattern(LARGE))).expect("well formed");
         assert_eq!(proxy.client().await.send(call).await, (200, "b".into()));
         assert_eq!(script.seen.borrow().len(), n);
         // A kept connection that was closed meanwhile takes nothing of the next one away.
-        b.close_idle().await;
+        b.close_idle_connections().await;
     }
 }
 
@@ -137,7 +137,7 @@
         stream.write_all(&head(&n.to_string(), te)).await.expect("taken");
         // It may be rejected before it is written.
         let _ = stream.write_all(&bytes).await;
-        let status = status(&mut stream).await;
+        let status = read_status(&mut stream).await;
         assert!(status.is_none_or(|s| s == 400), "{status:?}");
     }
     // One that stops half-way is told so, and one whose client leaves is forgotten.
@@ -148,7 +148,7 @@
     leaves.write_all(&head("leaves", "Content-Length: 1000000")).await.expect("taken");
     leaves.write_all(&pattern(100_000)).await.expect("taken");
     drop(leaves);
-    assert_eq!(status(&mut stops).await, Some(408));
+    assert_eq!(read_status(&mut stops).await, Some(408));
     assert_eq!(s.script.seen.borrow().len(), 0);
     assert_eq!(s.proxy.call("once").await.0, 200);
 }
@@ -188,8 +188,8 @@
 }
 
 async fn before(addr: SocketAddr) -> (Proxy, Discovery) {
-    let discovery = Discovery::start(vec![line("a", addr, "SERVING")]).await;
-    (Proxy::wait_until_applied(&discovery, settings()).await, discovery)
+    let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING")]).await;
+    (Proxy::start_with_list_applied(&discovery, settings()).await, discovery)
 }
 
 async fn fetch(proxy: &Proxy) -> Result<(u16, Vec<u8>), hyper::Error> {
@@ -288,12 +288,12 @@
 async fn an_upload_that_is_turned_down_is_read_to_its_end() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
     let mut settings = settings();
     settings["caps"]["openCap"] = 1.into();
-    let proxy = Proxy::wait_until_applied(&discovery, settings).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
     let hold = Arc::new(tokio::sync::Notify::new());
-    script.give([BackendBehavior::Hold(hold.clone())]);
+    script.enqueue([BackendBehavior::Hold(hold.clone())]);
     let mut client = proxy.client().await;
     let held = tokio::spawn(async move { client.call("once").await });
     script.wait_for_requests(1).await;
@@ -303,7 +303,7 @@
         stream.write_all(&pattern(100_000)).await.expect("it is read on");
         tokio::time::sleep(std::time::Duration::from_millis(400)).await;
     }
-    assert_eq!(status(&mut stream).await, Some(503));
+    assert_eq!(read_status(&mut stream).await, Some(503));
     hold.notify_one();
     assert_eq!(held.await.expect("no panic").0, 200);
 }
--- a/crates/proxy/tests/client_disconnect.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -26,8 +26,8 @@
 async fn fixture() -> Fixture {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     Fixture { script, a, b, _discovery: discovery, proxy }
 }
 
@@ -52,11 +52,11 @@
 
 /// Waits until the system, on the proxy's side, knows of each client's end.
 async fn known(proxy: &Proxy, clients: &[u16]) {
-    let open = |row: &Row| {
-        row.local == proxy.addr.port() && clients.contains(&row.remote) && row.state == ESTABLISHED
+    let open = |row: &TcpTableEntry| {
+        row.local_port == proxy.addr.port() && clients.contains(&row.remote_port) && row.state == ESTABLISHED
     };
     in_time(async {
-        while table().iter().any(open) {
+        while tcp_table().iter().any(open) {
             yield_now().await;
         }
     })
@@ -70,9 +70,9 @@
 /// By the time that others have had answers, what came before them has been read.
 async fn others_are_answered(proxy: &Proxy, others: usize) {
     for _ in 0..others {
-        let mut other = connected(proxy.addr).await;
+        let mut other = connect_tcp(proxy.addr).await;
         other.write_all(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n").await.expect("open");
-        assert_eq!(status(&mut other).await, Some(200));
+        assert_eq!(read_status(&mut other).await, Some(200));
     }
 }
 
@@ -83,9 +83,9 @@
     for n in 0..5 {
         let release = Arc::new(Notify::new());
         let wait_for_requests = s.script.seen.borrow().len();
-        s.script.give([BackendBehavior::DeclineLater(release.clone())]);
-        let mut client = connected(s.proxy.addr).await;
-        client.write_all(call("GET /look", &format!("gone-{n}")).as_bytes()).await.expect("open");
+        s.script.enqueue([BackendBehavior::HoldThenDecline(release.clone())]);
+        let mut client = connect_tcp(s.proxy.addr).await;
+        client.write_all(request_head("GET /look", &format!("gone-{n}")).as_bytes()).await.expect("open");
         s.script.wait_for_requests(wait_for_requests + 1).await;
         client.write_all("x".repeat(60_000).as_bytes()).await.expect("open");
         others_are_answered(&s.proxy, 10).await;
@@ -93,7 +93,7 @@
         // By then the end has come too, behind the bytes.
         others_are_answered(&s.proxy, 1).await;
         release.notify_one();
-        assert_eq!(status(&mut client).await, None, "{n}: the proxy knows that it left");
+        assert_eq!(read_status(&mut client).await, None, "{n}: the proxy knows that it left");
         assert_eq!(s.proxy.call("look").await.0, 200);
         assert_eq!(
             s.script.seen.borrow().len(),
@@ -109,18 +109,23 @@
     for how in [Leave::End, Leave::Reset] {
         let s = fixture().await;
         let release: Vec<_> = (0..AT_ONCE).map(|_| Arc::new(Notify::new())).collect();
-        s.script.give(release.iter().cloned().map(BackendBehavior::DeclineLater));
+        s.script.enqueue(release.iter().cloned().map(BackendBehavior::HoldThenDecline));
         let mut clients = Vec::new();
         for n in 0..AT_ONCE {
-            let mut client = connected(s.proxy.addr).await;
-            client.write_all(call("GET /look", &n.to_string()).as_bytes()).await.expect("open");
+            let mut client = connect_tcp(s.proxy.addr).await;
+            client.write_all(request_head("GET /look", &n.to_string()).as_bytes()).await.expect("open");
             clients.push(client);
         }
         s.script.wait_for_requests(AT_ONCE).await;
         s.proxy.pause().await;
         release.iter().for_each(|release| release.notify_one());
         let backends = [s.a.addr.port(), s.b.addr.port()];
-        let failed = || table().into_iter().filter(|r| backends.contains(&r.remote) && r.unread > 0).count();
+        let failed = || {
+            tcp_table()
+                .into_iter()
+                .filter(|r| backends.contains(&r.remote_port) && r.unread_bytes > 0)
+                .count()
+        };
         in_time(async {
             while failed() < AT_ONCE {
                 yield_now().await;
@@ -132,7 +137,7 @@
         known(&s.proxy, &ports).await;
         s.proxy.resume_process().await;
         for client in &mut left {
-            assert_eq!(status(client).await, None, "{how:?}");
+            assert_eq!(read_status(client).await, None, "{how:?}");
         }
         assert_eq!(s.proxy.call("look").await.0, 200);
         assert_eq!(s.script.seen.borrow().len(), AT_ONCE + 1, "{how:?}");
@@ -144,17 +149,19 @@
 #[tokio::test]
 async fn a_request_whose_client_disconnected_before_it_was_read_is_not_sent() {
     let s = fixture().await;
-    let mut open = connected(s.proxy.addr).await;
-    open.write_all(call("GET /look", "first").as_bytes()).await.expect("open");
-    assert_eq!(status(&mut open).await, Some(200));
+    let mut open = connect_tcp(s.proxy.addr).await;
+    open.write_all(request_head("GET /look", "first").as_bytes()).await.expect("open");
+    assert_eq!(read_status(&mut open).await, Some(200));
     s.proxy.pause().await;
-    let queued = connected(s.proxy.addr).await;
-    let two = connected(s.proxy.addr).await;
+    let queued = connect_tcp(s.proxy.addr).await;
+    let two = connect_tcp(s.proxy.addr).await;
     let (mut left, mut ports) = (Vec::new(), Vec::new());
-    let behind = call("POST /once", "three") + &call("POST /once", "four");
-    for (mut client, text) in
-        [(open, call("POST /once", "one")), (queued, call("POST /once", "two")), (two, behind)]
-    {
+    let behind = request_head("POST /once", "three") + &request_head("POST /once", "four");
+    for (mut client, text) in [
+        (open, request_head("POST /once", "one")),
+        (queued, request_head("POST /once", "two")),
+        (two, behind),
+    ] {
         client.write_all(text.as_bytes()).await.expect("open");
         ports.push(port(&client));
         left.extend(leave(client, Leave::End));
@@ -163,7 +170,7 @@
     s.proxy.resume_process().await;
     for client in &mut left {
         // What the proxy says to one that left is of no matter, as long as it lets go of it.
-        while status(client).await.is_some() {}
+        while read_status(client).await.is_some() {}
     }
     assert_eq!(s.proxy.call("look").await.0, 200);
     assert_eq!(s.script.seen.borrow().len(), 2, "the first, and the other's");
--- a/crates/proxy/tests/connection_close.rs
+++ b/crates/proxy/tests/connection_close.rs
@@ -32,10 +32,10 @@
 async fn fixture(change: impl FnOnce(&mut Value)) -> Fixture {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     change(&mut config);
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     Fixture { script, _a: a, _discovery: discovery, proxy }
 }
@@ -59,8 +59,8 @@
     // More connect than there are places, and each is served: those that are left rest.
     let mut clients = Vec::new();
     for n in 0..40 {
-        let mut client = connected(s.proxy.addr).await;
-        client.write_all(call("GET /look", &n.to_string()).as_bytes()).await.expect("open");
+        let mut client = connect_tcp(s.proxy.addr).await;
+        client.write_all(request_head("GET /look", &n.to_string()).as_bytes()).await.expect("open");
         assert!(served(&mut client).await, "{n}");
         clients.push(client);
     }
@@ -75,10 +75,10 @@
     s.proxy.pause().await;
     let mut new = Vec::new();
     for _ in 0..AT_ONCE {
-        new.push(connected(s.proxy.addr).await);
+        new.push(connect_tcp(s.proxy.addr).await);
     }
     for (n, client) in late.iter_mut().enumerate() {
-        client.write_all(call("POST /once", &format!("late-{n}")).as_bytes()).await.expect("open");
+        client.write_all(request_head("POST /once", &format!("late-{n}")).as_bytes()).await.expect("open");
     }
     s.proxy.resume_process().await;
     for (n, client) in late.iter_mut().enumerate() {
@@ -102,22 +102,25 @@
     let s = fixture(|_| {}).await;
     let mut clients = Vec::new();
     for n in 0..AT_ONCE {
-        let mut client = connected(s.proxy.addr).await;
-        client.write_all(call("GET /look", &n.to_string()).as_bytes()).await.expect("open");
+        let mut client = connect_tcp(s.proxy.addr).await;
+        client.write_all(request_head("GET /look", &n.to_string()).as_bytes()).await.expect("open");
         assert!(served(&mut client).await, "{n}");
         clients.push(client);
     }
     for burst in 0..BURSTS {
         s.proxy.pause().await;
         for _ in 0..BURST_CONNECTIONS {
-            drop(connected(s.proxy.addr).await);
+            drop(connect_tcp(s.proxy.addr).await);
         }
         hold_up(&s.proxy).await;
         s.proxy.resume_process().await;
         // It waits behind the burst.
         assert_eq!(s.proxy.call("look").await, (200, "a".into()));
         for (n, client) in clients.iter_mut().enumerate() {
-            client.write_all(call("GET /look", &format!("{burst}-{n}")).as_bytes()).await.expect("open");
+            client
+                .write_all(request_head("GET /look", &format!("{burst}-{n}")).as_bytes())
+                .await
+                .expect("open");
             assert!(served(client).await, "client {n} after burst {burst}");
         }
     }
@@ -134,17 +137,17 @@
     .await;
     let mut clients = Vec::new();
     for n in 0..AT_ONCE {
-        let mut client = connected(s.proxy.addr).await;
-        client.write_all(call("GET /look", &n.to_string()).as_bytes()).await.expect("open");
+        let mut client = connect_tcp(s.proxy.addr).await;
+        client.write_all(request_head("GET /look", &n.to_string()).as_bytes()).await.expect("open");
         assert!(served(&mut client).await);
         clients.push(client);
     }
     s.proxy.terminate().await;
     let told = Instant::now();
-    listener_closed(s.proxy.addr).await;
+    wait_until_listener_closed(s.proxy.addr).await;
     s.proxy.pause().await;
     for (n, client) in clients.iter_mut().enumerate() {
-        client.write_all(call("POST /once", &format!("late-{n}")).as_bytes()).await.expect("open");
+        client.write_all(request_head("POST /once", &format!("late-{n}")).as_bytes()).await.expect("open");
     }
     // By these settings such connections are closed 1.5 s after the signal.
     sleep_until(told + Duration::from_millis(1600)).await;
@@ -152,7 +155,7 @@
     for (n, client) in clients.iter_mut().enumerate() {
         assert!(served(client).await, "{n}");
     }
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 /// Nobody knows of those that the system has taken for the proxy and that wait at its listener.
@@ -164,8 +167,8 @@
     s.proxy.pause().await;
     let mut clients = Vec::new();
     for n in 0..AT_ONCE {
-        let mut client = connected(s.proxy.addr).await;
-        client.write_all(call("POST /once", &n.to_string()).as_bytes()).await.expect("open");
+        let mut client = connect_tcp(s.proxy.addr).await;
+        client.write_all(request_head("POST /once", &n.to_string()).as_bytes()).await.expect("open");
         clients.push(client);
     }
     // The listener is closed 0.5 s after the signal.
@@ -174,7 +177,7 @@
     for (n, client) in clients.iter_mut().enumerate() {
         assert!(served(client).await, "{n}");
     }
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 /// An answer that its client has not taken yet lies with the system when the connection is closed. Closed over bytes
@@ -182,17 +185,17 @@
 #[tokio::test]
 async fn an_answer_is_not_destroyed_by_what_its_client_has_written_beyond() {
     const LENGTH: usize = 60_000;
-    let backend = scripted(|_| {
+    let backend = canned_backend(|_| {
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n{}", "y".repeat(LENGTH));
         Some([answer.into_bytes(), Vec::new()])
     });
     let backend = backend.await;
-    let discovery = Discovery::start(vec![line("a", backend.addr, "SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let discovery = Discovery::start(vec![endpoint("a", backend.addr, "SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(2048).expect("a size");
     let mut client = in_time(socket.connect(proxy.addr)).await.expect("it listens");
-    let text = call("GET /look", "1").replace("Host: o", "Host: o\r\nConnection: close");
+    let text = request_head("GET /look", "1").replace("Host: o", "Host: o\r\nConnection: close");
     client.write_all((text + &"x".repeat(100_000)).as_bytes()).await.expect("the system takes it");
     let mut answer = Vec::new();
     assert_ne!(in_time(client.read_buf(&mut answer)).await.expect("open"), 0);
@@ -212,18 +215,18 @@
     let s = fixture(|_| {}).await;
     // What comes in one with the request, and what comes later.
     for (one, later) in [("GET /lo", ""), ("", "GET /lo"), ("", &"x".repeat(60_000))] {
-        let before = *s.script.left.borrow();
+        let before = *s.script.abandoned.borrow();
         let wait_for_requests = s.script.seen.borrow().len();
-        s.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
-        let mut client = connected(s.proxy.addr).await;
-        let text = call("GET /look", "1") + one;
+        s.script.enqueue([BackendBehavior::Hold(Arc::new(Notify::new()))]);
+        let mut client = connect_tcp(s.proxy.addr).await;
+        let text = request_head("GET /look", "1") + one;
         client.write_all(text.as_bytes()).await.expect("open");
         s.script.wait_for_requests(wait_for_requests + 1).await;
         client.write_all(later.as_bytes()).await.expect("open");
         client.shutdown().await.expect("open");
-        in_time(s.script.left.subscribe().wait_for(|left| *left == before + 1)).await.expect("open");
+        in_time(s.script.abandoned.subscribe().wait_for(|left| *left == before + 1)).await.expect("open");
         // Its connection is closed, too, and what it wrote is no request.
-        assert_eq!(status(&mut client).await, None);
+        assert_eq!(read_status(&mut client).await, None);
         assert_eq!(s.script.seen.borrow().len(), wait_for_requests + 1);
     }
 }
@@ -232,18 +235,18 @@
 /// carries nothing.
 #[tokio::test]
 async fn a_request_whose_client_disconnected_before_the_connect_is_not_sent() {
-    let (listener, held) = silent().await;
+    let (listener, held) = listener_with_full_backlog().await;
     let addr = listener.local_addr().expect("bound");
-    let discovery = Discovery::start(vec![line("a", addr, "SERVING")]).await;
+    let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING")]).await;
     let mut slow = settings();
     slow["caps"]["cancelling"] = false.into();
     slow["caps"]["connectTimeout"] = 20_000.0.into();
-    let proxy = Proxy::wait_until_applied(&discovery, slow).await;
-    let mut client = connected(proxy.addr).await;
-    client.write_all(call("POST /once", "1").as_bytes()).await.expect("open");
-    in_time(connecting(addr)).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, slow).await;
+    let mut client = connect_tcp(proxy.addr).await;
+    client.write_all(request_head("POST /once", "1").as_bytes()).await.expect("open");
+    in_time(wait_for_connect_attempt(addr)).await;
     client.shutdown().await.expect("open");
-    assert_eq!(status(&mut client).await, None, "the proxy knows that it left");
+    assert_eq!(read_status(&mut client).await, None, "the proxy knows that it left");
     // Only now does the queue get room, and the connection comes up when the system next tries.
     for _ in &held {
         drop(in_time(listener.accept()).await.expect("queued"));
@@ -257,7 +260,7 @@
 /// Each call here is refused or failed, which the log tells with a line.
 async fn calls_that_are_logged(proxy: &Proxy, script: &Arc<BackendScript>, calls: usize) {
     for _ in 0..calls {
-        script.give([BackendBehavior::Answer(500)]);
+        script.enqueue([BackendBehavior::Answer(500)]);
         assert_eq!(proxy.call("once").await.0, 502);
     }
     assert_eq!(proxy.call("look").await.0, 200);
@@ -269,7 +272,7 @@
     drop(s.proxy.log.take());
     calls_that_are_logged(&s.proxy, &s.script, 3).await;
     s.proxy.terminate_without_log().await;
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 #[tokio::test]
@@ -292,9 +295,9 @@
 async fn an_older_list_after_a_move_brings_no_draining_backend_back() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let both = |health: &str| vec![a.line(health), b.line("SERVING")];
+    let both = |health: &str| vec![a.endpoint(health), b.endpoint("SERVING")];
     let discovery = Discovery::start(both("SERVING")).await;
-    let mut proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let mut proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     discovery.publish(both("SERVING")).await;
     discovery.publish(both("DRAINING")).await;
     let older = Discovery::start(both("SERVING")).await;
@@ -309,12 +312,12 @@
 /// Wherever a request waits, it is not sent on once its client has left.
 #[tokio::test]
 async fn a_request_whose_client_disconnected_while_it_was_queued_is_not_sent() {
-    let upload = call("POST /once", "1").replace("Host: o", "Host: o\r\nContent-Length: 200000");
+    let upload = request_head("POST /once", "1").replace("Host: o", "Host: o\r\nContent-Length: 200000");
     let waiting = [
         // For a backend, in the balancer.
-        call("POST /once", "1"),
+        request_head("POST /once", "1"),
         // The same behind another, which is of no more use.
-        call("POST /once", "1") + &call("POST /once", "2"),
+        request_head("POST /once", "1") + &request_head("POST /once", "2"),
         // With a body still coming, too long to be kept.
         upload.clone() + &"x".repeat(100_000),
         // And with one that is kept.
@@ -323,21 +326,21 @@
     for text in waiting {
         let script = Arc::new(BackendScript::default());
         let a = Backend::start("a", &script).await;
-        let discovery = Discovery::start(vec![a.line("SERVING")]).await;
-        let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
-        discovery.publish(vec![a.line("DRAINING")]).await;
-        let mut client = connected(proxy.addr).await;
+        let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
+        let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
+        discovery.publish(vec![a.endpoint("DRAINING")]).await;
+        let mut client = connect_tcp(proxy.addr).await;
         client.write_all(text.as_bytes()).await.expect("open");
         // By the time that others have had answers it has been read.
         for _ in 0..10 {
-            let mut other = connected(proxy.addr).await;
+            let mut other = connect_tcp(proxy.addr).await;
             other.write_all(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n").await.expect("open");
-            assert_eq!(status(&mut other).await, Some(503));
+            assert_eq!(read_status(&mut other).await, Some(503));
         }
         client.shutdown().await.expect("open");
-        let left = status(&mut client).await;
+        let left = read_status(&mut client).await;
         assert!(matches!(left, None | Some(400)), "{left:?}");
-        discovery.publish(vec![a.line("SERVING")]).await;
+        discovery.publish(vec![a.endpoint("SERVING")]).await;
         assert_eq!(proxy.call("look").await, (200, "a".into()));
         assert_eq!(script.seen.borrow().len(), 1);
     }
@@ -348,19 +351,19 @@
 async fn a_new_configuration_counts_while_the_program_stops() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
     let mut brisk = settings();
     for class in brisk["classes"].as_array_mut().expect("a list") {
         class["aim"] = 500.0.into();
     }
-    let mut proxy = Proxy::wait_until_applied(&discovery, brisk.clone()).await;
+    let mut proxy = Proxy::start_with_list_applied(&discovery, brisk.clone()).await;
     let mut client = proxy.client().await;
     assert_eq!(client.call("look").await, (200, "a".into()));
-    let other = Discovery::start(vec![a.line("DRAINING"), b.line("SERVING")]).await;
+    let other = Discovery::start(vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]).await;
     proxy.terminate().await;
     proxy.reload(&other.config(brisk).to_string(), "configuration applied").await;
     other.wait_until_applied().await;
     assert_eq!(client.call("look").await, (200, "b".into()));
     drop(client);
-    assert_eq!(proxy.ended().await.code(), Some(0));
+    assert_eq!(proxy.wait_for_exit().await.code(), Some(0));
 }
--- a/crates/proxy/tests/crossing_requests.rs
+++ b/crates/proxy/tests/crossing_requests.rs
@@ -25,11 +25,12 @@
 impl Fixture {
     async fn new() -> Self {
         let backend = Backend::start("a", &Arc::new(BackendScript::default())).await;
-        let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
+        let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
         let mut config = discovery.config(settings());
         config["limits"]["sockets"] = DESCRIPTORS.into();
         config["management"] = "127.0.0.1:0".into();
-        let proxy = Proxy::start_as(&config, &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")).await;
+        let proxy =
+            Proxy::start_with_command(&config, &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")).await;
         discovery.wait_until_applied().await;
         Fixture { _backend: backend, discovery, config, proxy }
     }
@@ -44,8 +45,8 @@
 async fn cross_close(mut stream: TcpStream, number: usize) -> Option<u16> {
     in_time(stream.readable()).await.expect("open");
     // The other side may have closed its socket altogether.
-    let _ = stream.write_all(call("GET /look", &format!("{number:016x}")).as_bytes()).await;
-    status(&mut stream).await
+    let _ = stream.write_all(request_head("GET /look", &format!("{number:016x}")).as_bytes()).await;
+    read_status(&mut stream).await
 }
 
 async fn cross_closes(streams: Vec<TcpStream>) -> Vec<Option<u16>> {
@@ -59,7 +60,7 @@
 async fn connect_many(addr: SocketAddr, count: usize) -> Vec<TcpStream> {
     let mut streams = Vec::new();
     for _ in 0..count {
-        streams.push(connected(addr).await);
+        streams.push(connect_tcp(addr).await);
     }
     streams
 }
--- a/crates/proxy/tests/descriptor_exhaustion.rs
+++ b/crates/proxy/tests/descriptor_exhaustion.rs
@@ -122,7 +122,7 @@
         }
         in_time(served_count.subscribe().wait_for(|n| *n >= 10 * DESCRIPTORS)).await.expect("open");
         let held_responses: Vec<_> = (0..10 * DESCRIPTORS).map(|_| Arc::new(Notify::new())).collect();
-        script.give(held_responses.iter().cloned().map(BackendBehavior::Hold));
+        script.enqueue(held_responses.iter().cloned().map(BackendBehavior::Hold));
         let before = *rejected.borrow();
         let enough = before + 10 * DESCRIPTORS;
         in_time(rejected.subscribe().wait_for(|n| *n >= enough)).await.expect("open");
@@ -177,20 +177,20 @@
     }
     let list = |health: &str| {
         let (a, others) = backends.split_first().expect("some");
-        let others = others.iter().map(|backend| backend.line("SERVING"));
-        std::iter::once(a.line(health)).chain(others).collect::<Vec<_>>()
+        let others = others.iter().map(|backend| backend.endpoint("SERVING"));
+        std::iter::once(a.endpoint(health)).chain(others).collect::<Vec<_>>()
     };
     let discovery = Discovery::start(list("SERVING")).await;
-    let proxy = Proxy::start_as(&config(&discovery, how), &start()).await;
+    let proxy = Proxy::start_with_command(&config(&discovery, how), &start()).await;
     discovery.wait_until_applied().await;
     let watcher = DescriptorWatcher::start(&[&proxy]);
-    discovery.set(down).await;
+    discovery.set_behavior(down).await;
     let busy_clients = if busy { Some(BusyClients::begin(&proxy, &script).await) } else { None };
     let crowd = Crowd::start(proxy.addr, first_bytes);
     crowd.wait_until_shut_out(2 * DESCRIPTORS).await;
     assert_eq!(proxy.call_admin("GET", "/v1/readyz").await, 200);
-    discovery.change(list("DRAINING"));
-    discovery.set(DiscoveryBehavior::Up).await;
+    discovery.replace_list(list("DRAINING"));
+    discovery.set_behavior(DiscoveryBehavior::Up).await;
     discovery.wait_until_applied().await;
     for what in ["suspend", "resume"] {
         assert_eq!(proxy.call_admin("POST", &format!("/v1/backends/b/{what}")).await, 200);
@@ -245,14 +245,14 @@
 async fn a_stop_amid_idle_clients_leaves_a_descriptor() {
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
-    let mut proxy = Proxy::start_as(&config(&discovery, "automatic"), &start()).await;
+    let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
+    let mut proxy = Proxy::start_with_command(&config(&discovery, "automatic"), &start()).await;
     discovery.wait_until_applied().await;
     let watcher = DescriptorWatcher::start(&[&proxy]);
     let crowd = Crowd::start(proxy.addr, NO_BYTES);
     crowd.wait_until_shut_out(2 * DESCRIPTORS).await;
     proxy.terminate().await;
-    assert!(proxy.ended().await.success());
+    assert!(proxy.wait_for_exit().await.success());
     let most = watcher.most.load(SeqCst);
     assert!(most < DESCRIPTORS, "one was always free, {most} were seen");
 }
--- a/crates/proxy/tests/discovery_notification.rs
+++ b/crates/proxy/tests/discovery_notification.rs
@@ -78,19 +78,19 @@
 async fn discovery_that_is_back_is_asked_within_the_term() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let (socket, address) = refusing();
-    let known = json!({"seq": 1, "whole": true, "hosts": [a.line("SERVING"), b.line("SERVING")]});
+    let (socket, address) = bound_socket_without_listener();
+    let known = json!({"seq": 1, "whole": true, "hosts": [a.endpoint("SERVING"), b.endpoint("SERVING")]});
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": address.to_string(),
                         "seed": "8c1f30d27a5be964", "known": known,
                         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": rarely()});
-    let mut proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let mut proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     in_term(logged(&mut proxy, "refused")).await;
     for _ in 0..20 {
         assert_eq!(proxy.call("look").await.0, 200);
     }
     assert!(script.requests_at("a") > 0, "what it knew is used");
     let listener = socket.listen(16).expect("it listens");
-    let mut calls = agent(listener, 3, vec![a.line("DRAINING"), b.line("SERVING")]);
+    let mut calls = agent(listener, 3, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
     for _ in 0..4 {
         in_term(calls.recv()).await.expect("it calls");
     }
@@ -107,15 +107,15 @@
 async fn a_new_address_that_comes_up_late_is_polled_within_the_deadline() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let mut proxy = Proxy::wait_until_applied(&discovery, rarely()).await;
-    let (socket, address) = refusing();
+    let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
+    let mut proxy = Proxy::start_with_list_applied(&discovery, rarely()).await;
+    let (socket, address) = bound_socket_without_listener();
     let mut config = discovery.config(rarely());
     config["discovery"] = address.to_string().into();
     proxy.reload(&config.to_string(), "configuration applied").await;
     in_term(logged(&mut proxy, "refused")).await;
     let listener = socket.listen(16).expect("it listens");
-    let mut calls = agent(listener, 0, vec![a.line("DRAINING"), b.line("SERVING")]);
+    let mut calls = agent(listener, 0, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
     in_term(calls.recv()).await.expect("it calls");
     held(&mut calls).await;
     let before = script.requests_at("a");
@@ -130,14 +130,14 @@
 async fn an_agent_that_was_unresponsive_is_polled_within_the_deadline() {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
-    let (listener, _queue) = silent().await;
+    let (listener, _queue) = listener_with_full_backlog().await;
     let address = listener.local_addr().expect("bound");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": address.to_string(),
                         "seed": "8c1f30d27a5be964",
                         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": rarely()});
-    let mut proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let mut proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     in_term(logged(&mut proxy, "no connection in time")).await;
-    let mut calls = agent(listener, 0, vec![b.line("SERVING")]);
+    let mut calls = agent(listener, 0, vec![b.endpoint("SERVING")]);
     in_term(calls.recv()).await.expect("it calls");
     held(&mut calls).await;
     assert_eq!(proxy.call("look").await, (200, "b".into()));
--- a/crates/proxy/tests/drained_tier.rs
+++ b/crates/proxy/tests/drained_tier.rs
@@ -35,16 +35,16 @@
         for outage in [DiscoveryBehavior::Refusing, DiscoveryBehavior::Silent] {
             let script = Arc::new(BackendScript::default());
             let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-            let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-            let proxy = Proxy::wait_until_applied(&discovery, impatient_settings(mode)).await;
-            discovery.set(outage).await;
-            discovery.change(Vec::new());
+            let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
+            let proxy = Proxy::start_with_list_applied(&discovery, impatient_settings(mode)).await;
+            discovery.set_behavior(outage).await;
+            discovery.replace_list(Vec::new());
             sleep(OUTAGE).await;
-            let lists = discovery.begun.load(SeqCst);
-            discovery.set(DiscoveryBehavior::Up).await;
+            let lists = discovery.full_list_requests.load(SeqCst);
+            discovery.set_behavior(DiscoveryBehavior::Up).await;
             // A watch that was not answered meanwhile tells it, too.
             let is_told = async {
-                while discovery.begun.load(SeqCst) == lists && !proxy_holds(&discovery).await {
+                while discovery.full_list_requests.load(SeqCst) == lists && !proxy_holds(&discovery).await {
                     sleep(Duration::from_millis(5)).await;
                 }
             };
@@ -57,7 +57,7 @@
             }
             assert_eq!(script.seen.borrow().len(), before, "{mode}");
             // The first backend that is named again is used at once.
-            discovery.publish(vec![b.line("SERVING")]).await;
+            discovery.publish(vec![b.endpoint("SERVING")]).await;
             assert_eq!(proxy.call("look").await, (200, "b".into()), "{mode}");
         }
     }
@@ -124,7 +124,7 @@
                         "seed": "8c1f30d27a5be964",
                         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
                         "settings": impatient_settings("automatic")});
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     in_time(calls.wait_for(|calls| *calls > last)).await.expect("open");
     proxy
 }
@@ -134,7 +134,7 @@
 async fn a_list_of_nobody_that_the_next_one_takes_back_rejects_no_request() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let named = vec![a.line("SERVING")];
+    let named = vec![a.endpoint("SERVING")];
     let proxy = proxy_after(vec![
         DiscoveryAnswer::Whole(1, named.clone()),
         DiscoveryAnswer::Whole(2, Vec::new()),
@@ -152,7 +152,7 @@
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let proxy = proxy_after(vec![
-        DiscoveryAnswer::Whole(1, vec![a.line("SERVING")]),
+        DiscoveryAnswer::Whole(1, vec![a.endpoint("SERVING")]),
         DiscoveryAnswer::Whole(2, Vec::new()),
         DiscoveryAnswer::Close,
     ])
@@ -169,7 +169,7 @@
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let proxy = proxy_after(vec![
-        DiscoveryAnswer::Whole(7, vec![a.line("SERVING")]),
+        DiscoveryAnswer::Whole(7, vec![a.endpoint("SERVING")]),
         DiscoveryAnswer::Whole(6, Vec::new()),
         DiscoveryAnswer::Whole(6, Vec::new()),
         DiscoveryAnswer::Whole(6, Vec::new()),
@@ -186,7 +186,7 @@
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let with = |key: &str, value: Value| {
-        let mut entry = a.line("DRAINING");
+        let mut entry = a.endpoint("DRAINING");
         entry[key] = value;
         entry
     };
@@ -202,7 +202,7 @@
     ];
     for entry in entries {
         let proxy = proxy_after(vec![
-            DiscoveryAnswer::Whole(1, vec![a.line("SERVING"), b.line("SERVING")]),
+            DiscoveryAnswer::Whole(1, vec![a.endpoint("SERVING"), b.endpoint("SERVING")]),
             DiscoveryAnswer::Changes(2, vec![entry.clone()]),
         ])
         .await;
--- a/crates/proxy/tests/exchange_isolation.rs
+++ b/crates/proxy/tests/exchange_isolation.rs
@@ -31,8 +31,8 @@
 impl Fixture {
     async fn new(settings: Value) -> Self {
         let backend = RawBackend::start().await;
-        let discovery = Discovery::start(vec![line("a", backend.addr, "SERVING")]).await;
-        let proxy = Proxy::wait_until_applied(&discovery, settings).await;
+        let discovery = Discovery::start(vec![endpoint("a", backend.addr, "SERVING")]).await;
+        let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
         Fixture { backend, _discovery: discovery, proxy }
     }
 
@@ -43,7 +43,7 @@
     /// A connection to the backend that is kept after one exchange, whose response it gives too.
     async fn kept_connection(&self) -> (RawConnection, Vec<u8>) {
         let mut client = self.client().await;
-        client.write(call("GET /look", "first")).await;
+        client.write(request_head("GET /look", "first")).await;
         let mut connection = self.backend.accept().await;
         let first = response(200, "", "first");
         assert_eq!(connection.read_request().await.expect("a request").0, "first");
@@ -55,7 +55,7 @@
     /// A request on a new connection of the proxy to its backend, and of a client to the proxy, gets its own answer.
     async fn next_is_served_on_a_new_connection(&self) {
         let mut client = self.client().await;
-        client.write(call("POST /once", "next")).await;
+        client.write(request_head("POST /once", "next")).await;
         let mut connection = self.backend.accept().await;
         assert_eq!(connection.read_request().await.expect("a request").0, "next");
         connection.write(response(200, "", "next")).await;
@@ -78,7 +78,7 @@
 
 /// A request with more headers.
 fn call_with(line: &str, id: &str, headers: &str) -> String {
-    call(line, id).replace("Host: o\r\n", &format!("Host: o\r\n{headers}\r\n"))
+    request_head(line, id).replace("Host: o\r\n", &format!("Host: o\r\n{headers}\r\n"))
 }
 
 fn upload_head(id: &str, length: usize) -> String {
@@ -178,7 +178,7 @@
     let s = Fixture::new(settings).await;
     // Given: the one request that may be open.
     let mut open = s.client().await;
-    open.write(call("GET /look", "open")).await;
+    open.write(request_head("GET /look", "open")).await;
     let mut connection = s.backend.accept().await;
     connection.read_request().await.expect("a request");
     // When: an upload is rejected while it is written, and that one is answered.
@@ -205,7 +205,7 @@
         class["aim"] = MAX_QUEUE_WAIT_MS.into();
     }
     let discovery = Discovery::start(Vec::new()).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
     let mut client = RawConnection::connect(proxy.addr).await;
     client.write(upload_head("upload", ENDLESS_BYTES)).await;
     client.write("u".repeat(ENDLESS_BYTES)).await;
@@ -222,7 +222,7 @@
         class["aim"] = MAX_QUEUE_WAIT_MS.into();
     }
     let discovery = Discovery::start(Vec::new()).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
     let mut client = RawConnection::connect(proxy.addr).await;
     client.write(call_with("POST /once", "upload", "Transfer-Encoding: chunked")).await;
     let chunk = format!("{CHUNK_BYTES:x}\r\n{}\r\n", "u".repeat(CHUNK_BYTES));
@@ -244,7 +244,7 @@
     let (answer, _) = client.read_message().await.expect("an answer");
     assert!(answer.starts_with("http/1.1 404 "), "{answer}");
     // When: its body has been passed over.
-    all_is_read(&s.proxy, &client).await;
+    wait_until_read(&s.proxy, &client).await;
     // Then: what its client sends next is served.
     s.next_is_served_unless_closed(&mut client, &answer).await;
 }
@@ -257,16 +257,16 @@
     const CHUNKS: usize = 500;
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     config["limits"]["sockets"] = DESCRIPTORS.into();
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     // Given: resting clients on all places.
     let mut resting = Vec::new();
     for n in 0..DESCRIPTORS / 4 {
         let mut client = RawConnection::connect(proxy.addr).await;
-        client.write(call("GET /look", &n.to_string())).await;
+        client.write(request_head("GET /look", &n.to_string())).await;
         assert_eq!(client.read_answer().await, Some((200, "a".into())));
         resting.push(client);
     }
@@ -299,7 +299,7 @@
     let discovery = Discovery::start(Vec::new()).await;
     let mut config = discovery.config(settings());
     config["limits"]["sockets"] = DESCRIPTORS.into();
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     // Given: resting clients on all places.
     let mut resting = Vec::new();
@@ -347,7 +347,7 @@
     let mut exchanges: Vec<(RawConnection, RawConnection, bool)> = Vec::new();
     for n in (0..SIZES).rev() {
         let mut client = RawConnection::connect_with_small_buffer(s.proxy.addr).await;
-        client.write(call("GET /look", &n.to_string())).await;
+        client.write(request_head("GET /look", &n.to_string())).await;
         let is_connection_used_again = async {
             match exchanges.last() {
                 Some((_, connection, _)) => connection.stream.readable().await.expect("open"),
@@ -377,7 +377,7 @@
     sleep_until(last_ended_at + IDLE_TIMEOUT).await;
     // Then: the next request comes on none of these connections.
     let mut client = s.client().await;
-    client.write(call("POST /once", "next")).await;
+    client.write(request_head("POST /once", "next")).await;
     let mut connection = s.backend.accept().await;
     assert_eq!(connection.read_request().await.expect("a request").0, "next");
 }
@@ -402,7 +402,7 @@
         // Given: a request on a kept connection.
         let (mut connection, _) = s.kept_connection().await;
         let mut client = s.client().await;
-        let text = call("POST /once", "abandoned");
+        let text = request_head("POST /once", "abandoned");
         let deadline_ms = if is_late { "200" } else { "60000" };
         client.write(text.replace("60000", deadline_ms)).await;
         assert_eq!(connection.read_request().await.expect("a request").0, "abandoned");
@@ -427,7 +427,7 @@
     for rest in [response(200, "", "other"), response(500, "", ""), interim] {
         let s = Fixture::new(settings()).await;
         let mut client = s.client().await;
-        client.write(call("POST /once", "last")).await;
+        client.write(request_head("POST /once", "last")).await;
         let mut connection = s.backend.accept().await;
         connection.read_request().await.expect("a request");
         connection.write([response(200, "Connection: close\r\n", "last"), rest].concat()).await;
@@ -444,7 +444,7 @@
     // Given: a kept connection, on which an interim response comes behind the next request's bytes.
     let (mut connection, _) = s.kept_connection().await;
     let mut client = s.client().await;
-    client.write(call("POST /once", "second")).await;
+    client.write(request_head("POST /once", "second")).await;
     assert_eq!(connection.read_request().await.expect("a request").0, "second");
     connection.write(INTERIM).await;
     connection.write(response(200, "", "second")).await;
@@ -491,7 +491,7 @@
     let s = Fixture::new(settings()).await;
     let mut client = s.client().await;
     let last = call_with("POST /once", "last", "Connection: close");
-    client.write(last + &call("POST /once", "behind")).await;
+    client.write(last + &request_head("POST /once", "behind")).await;
     let mut connection = s.backend.accept().await;
     assert_eq!(connection.read_request().await.expect("a request").0, "last");
     connection.write(response(200, "", "last")).await;
@@ -499,7 +499,7 @@
     assert_eq!(client.read_to_close().await, b"");
     // The next request on the kept connection is another client's.
     let mut other = s.client().await;
-    other.write(call("POST /once", "other")).await;
+    other.write(request_head("POST /once", "other")).await;
     assert_eq!(connection.read_request().await.expect("a request").0, "other");
     connection.write(response(200, "", "other")).await;
     assert_eq!(other.read_answer().await, Some((200, "other".into())));
@@ -511,11 +511,13 @@
 async fn pipelined_requests_behind_a_rejected_one_get_their_own_answers() {
     let s = Fixture::new(settings()).await;
     let mut client = s.client().await;
-    let hidden = call("POST /once", "hidden");
+    let hidden = request_head("POST /once", "hidden");
     let rejected =
         call_with("POST /unknown", "rejected", &format!("Content-Length: {}", hidden.len())) + &hidden;
-    let texts =
-        call("GET /look", "one") + &call("GET /look", "two") + &rejected + &call("POST /once", "three");
+    let texts = request_head("GET /look", "one")
+        + &request_head("GET /look", "two")
+        + &rejected
+        + &request_head("POST /once", "three");
     client.write(texts).await;
     let mut connection = s.backend.accept().await;
     for id in ["one", "two"] {
--- a/crates/proxy/tests/first_copies.rs
+++ b/crates/proxy/tests/first_copies.rs
@@ -96,7 +96,7 @@
             let (exchange, gate) = (exchange.clone(), gate.clone());
             let handler = move |connection| repeat_late(connection, delivery, exchange.clone(), gate.clone());
             let backend = ScriptedBackend::serve(handler).await;
-            list.push(line(&format!("backend-{number}"), backend.addr, "SERVING"));
+            list.push(endpoint(&format!("backend-{number}"), backend.addr, "SERVING"));
             backends.push(backend);
         }
         let discovery = Discovery::start(list).await;
@@ -104,7 +104,7 @@
         for class in settings["classes"].as_array_mut().expect("a list") {
             class["aim"] = (1000.0 * deployment.latency_objective.as_secs_f64()).into();
         }
-        let proxy = Proxy::wait_until_applied(&discovery, settings).await;
+        let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
         Fixture { backends, gate, _discovery: discovery, proxy }
     }
 
@@ -114,8 +114,8 @@
     }
 
     /// Sends requests in a row, each held at the gate for the time given, and gives each one's id and answer.
-    async fn call_in_a_row(&self, class: &str, count: usize, delay: Duration) -> Vec<Answered> {
-        let calls = send_in_a_row(&self.proxy, count, || request_with_deadline(class, DEADLINE));
+    async fn call_sequentially(&self, class: &str, count: usize, delay: Duration) -> Vec<IdentifiedResponse> {
+        let calls = send_sequentially(&self.proxy, count, || request_with_deadline(class, DEADLINE));
         let openings = async {
             for arrivals in 1.. {
                 self.gate.wait_for_arrivals(arrivals).await;
@@ -130,7 +130,7 @@
     }
 
     /// Each request is served with its own answer, and ran once.
-    fn assert_each_got_its_own(&self, answers: Vec<Answered>) {
+    fn assert_each_got_its_own(&self, answers: Vec<IdentifiedResponse>) {
         let wrong: Vec<_> =
             answers.iter().enumerate().filter(|(_, (id, answer))| *answer != (200, id.clone())).collect();
         assert!(wrong.is_empty(), "{} of {}: {wrong:?}", wrong.len(), answers.len());
@@ -181,7 +181,7 @@
         is_held: count > distinct,
     })
     .await;
-    let answers = fixture.call_in_a_row("once", distinct + CALLS, RESPONSE_DELAY).await;
+    let answers = fixture.call_sequentially("once", distinct + CALLS, RESPONSE_DELAY).await;
     fixture.assert_each_got_its_own(answers);
 }
 
@@ -224,7 +224,7 @@
         is_held: count == USUAL + 1,
     })
     .await;
-    let answers = fixture.call_in_a_row("once", USUAL + CALLS, delay).await;
+    let answers = fixture.call_sequentially("once", USUAL + CALLS, delay).await;
     fixture.assert_each_got_its_own(answers);
 }
 
@@ -274,7 +274,7 @@
         is_held: count > 3,
     })
     .await;
-    let answers = fixture.call_in_a_row("once", 3 + CALLS, RESPONSE_DELAY).await;
+    let answers = fixture.call_sequentially("once", 3 + CALLS, RESPONSE_DELAY).await;
     fixture.assert_each_got_its_own(answers);
 }
 
@@ -309,8 +309,8 @@
 struct BusyClients {
     fixture: Fixture,
     clients: Vec<Client>,
-    calls: JoinSet<(Client, Answered)>,
-    answers: Vec<Answered>,
+    calls: JoinSet<(Client, IdentifiedResponse)>,
+    answers: Vec<IdentifiedResponse>,
     rounds: usize,
 }
 
@@ -355,9 +355,9 @@
     /// Waits until so many connections of the proxy to its backends have something that it has not read.
     async fn wait_for_unread_responses(&self, count: usize) {
         let ports: Vec<u16> = self.fixture.backends.iter().map(|backend| backend.addr.port()).collect();
-        let is_unread = |row: &Row| ports.contains(&row.remote) && row.unread > 0;
+        let is_unread = |row: &TcpTableEntry| ports.contains(&row.remote_port) && row.unread_bytes > 0;
         in_time(async {
-            while table().into_iter().filter(is_unread).count() < count {
+            while tcp_table().into_iter().filter(is_unread).count() < count {
                 tokio::task::yield_now().await;
             }
         })
@@ -418,9 +418,9 @@
         Exchange { is_held: received_before > errors_at, ..Exchange::sound(own_response(id)) }
     })
     .await;
-    let answers = fixture.call_in_a_row("once", errors_at + 2 * CALLS, RESPONSE_DELAY).await;
+    let answers = fixture.call_sequentially("once", errors_at + 2 * CALLS, RESPONSE_DELAY).await;
     let runs = runs.lock().expect("no panic").clone();
-    let is_right = |(id, (status, body)): &Answered| {
+    let is_right = |(id, (status, body)): &IdentifiedResponse| {
         let served = runs.get(id).copied().unwrap_or_default();
         served <= 1 && (*status == 200) == (served == 1) && (*status != 200 || body == id)
     };
@@ -475,7 +475,7 @@
     for _ in 0..clients {
         let fixture = fixture.clone();
         calls.spawn(async move {
-            send_in_a_row(&fixture.proxy, EQUAL_CALLS, || request_with_deadline("once", deadline)).await
+            send_sequentially(&fixture.proxy, EQUAL_CALLS, || request_with_deadline("once", deadline)).await
         });
     }
     let answers = calls.join_all().await.concat();
@@ -574,9 +574,9 @@
         };
         let (answer, ()) = tokio::join!(fixture.proxy.call("once"), response_comes);
         assert_eq!(answer.0, 200);
-        let mut client = connected(fixture.proxy.addr).await;
+        let mut client = connect_tcp(fixture.proxy.addr).await;
         let id = "00000000f1257c09".to_string();
-        let head = call("POST /once", &id);
+        let head = request_head("POST /once", &id);
         let deadline_header = format!("Req-Deadline-Ms: {}", deadline.as_millis());
         let head = head.replace("Req-Deadline-Ms: 60000", &deadline_header);
         client.write_all(head.as_bytes()).await.expect("open");
@@ -593,7 +593,7 @@
 
     /// The proxy goes on, and the request has run once.
     async fn assert_others_are_served(&self) {
-        let answers = self.fixture.call_in_a_row("once", CALLS, Duration::ZERO).await;
+        let answers = self.fixture.call_sequentially("once", CALLS, Duration::ZERO).await;
         self.fixture.assert_each_got_its_own(answers);
         assert_eq!(self.fixture.times_received(&self.id), 1);
     }
@@ -648,8 +648,8 @@
         is_held: count > 3,
     })
     .await;
-    let answers = fixture.call_in_a_row("once", 3 + CALLS, RESPONSE_DELAY).await;
-    let without_padding = |(id, (status, body)): Answered| {
+    let answers = fixture.call_sequentially("once", 3 + CALLS, RESPONSE_DELAY).await;
+    let without_padding = |(id, (status, body)): IdentifiedResponse| {
         assert!(status != 200 || body.len() == id.len() + length, "it is broken");
         (id, (status, body.trim_end_matches('x').to_string()))
     };
@@ -679,7 +679,7 @@
         is_held: count > 3,
     })
     .await;
-    let mut answers = fixture.call_in_a_row("once", 3 + CALLS, RESPONSE_DELAY).await;
+    let mut answers = fixture.call_sequentially("once", 3 + CALLS, RESPONSE_DELAY).await;
     for (id, (_, body)) in &mut answers {
         assert_eq!(body.len(), id.len() + PADDING_BYTES, "it is broken");
         body.truncate(id.len());
@@ -691,10 +691,10 @@
 #[tokio::test]
 async fn a_connection_is_closed_behind_a_response_too_long_to_be_compared() {
     let backend = RawBackend::start().await;
-    let discovery = Discovery::start(vec![line("a", backend.addr, "SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let discovery = Discovery::start(vec![endpoint("a", backend.addr, "SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     let mut client = RawConnection::connect(proxy.addr).await;
-    client.write(call("GET /look", "long")).await;
+    client.write(request_head("GET /look", "long")).await;
     let mut connection = backend.accept().await;
     connection.read_request().await.expect("a request");
     let body = "x".repeat(100 * 1024);
@@ -716,7 +716,7 @@
         vec![Step::Write(response(200, "", &format!("{id}{padding}")))]
     })
     .await;
-    for (id, (status, body)) in call_in_a_row(&proxy, "once", CALLS).await {
+    for (id, (status, body)) in call_sequentially(&proxy, "once", CALLS).await {
         assert_eq!((status, body.trim_end_matches('x')), (200, id.as_str()));
     }
     assert_eq!(connections.load(SeqCst), 1);
@@ -738,7 +738,7 @@
         Exchange { response: own_response(id), is_repeated: number > SOUND, is_held: number > SOUND + 1 }
     })
     .await;
-    let mut answers = fixture.call_in_a_row("once", SOUND + 2 * CALLS, RESPONSE_DELAY).await;
+    let mut answers = fixture.call_sequentially("once", SOUND + 2 * CALLS, RESPONSE_DELAY).await;
     assert!(answers[..SOUND].iter().step_by(2).all(|(_, (status, _))| *status != 200), "{answers:?}");
     fixture.assert_each_got_its_own(answers.split_off(SOUND));
 }
@@ -748,8 +748,8 @@
     script: impl Fn(usize, &str) -> Vec<Step> + Send + Sync + 'static,
 ) -> (ScriptedBackend, Discovery, Proxy) {
     let backend = ScriptedBackend::start(script).await;
-    let discovery = Discovery::start(vec![line("backend-0", backend.addr, "SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let discovery = Discovery::start(vec![endpoint("backend-0", backend.addr, "SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     (backend, discovery, proxy)
 }
 
@@ -765,7 +765,7 @@
             vec![Step::Write(written), Step::Pause(PIECE_DELAY), Step::Write(rest.to_vec())]
         })
         .await;
-        let (id, answer) = call_in_a_row(&proxy, "once", 1).await.remove(0);
+        let (id, answer) = call_sequentially(&proxy, "once", 1).await.remove(0);
         if answer != (200, id) {
             lost.push((length, answer));
         }
@@ -788,7 +788,7 @@
         vec![Step::Write(head.to_vec()), Step::Pause(PIECE_DELAY), Step::Write(body.to_vec())]
     })
     .await;
-    for (_, answer) in call_in_a_row(&proxy, "once", 8 * MAX_CONNECTIONS).await {
+    for (_, answer) in call_sequentially(&proxy, "once", 8 * MAX_CONNECTIONS).await {
         assert_eq!(answer, (200, "equal".to_string()));
     }
     let connections = connections.load(SeqCst);
@@ -843,8 +843,8 @@
     })
     .await;
     assert_eq!(proxy.call("once").await, (200, "first".to_string()));
-    let mut client = connected(proxy.addr).await;
-    let head = call("POST /once", "00000000f1257c0a");
+    let mut client = connect_tcp(proxy.addr).await;
+    let head = request_head("POST /once", "00000000f1257c0a");
     let length = format!("\r\nContent-Length: {BODY_BYTES}\r\n\r\n");
     client.write_all(head.replace("\r\n\r\n", &length).as_bytes()).await.expect("open");
     client.write_all(&[b'x'; FIRST_BYTES]).await.expect("open");
--- a/crates/proxy/tests/late_accept.rs
+++ b/crates/proxy/tests/late_accept.rs
@@ -32,8 +32,8 @@
     async fn new() -> Self {
         let script = Arc::new(BackendScript::default());
         let backend = Backend::start("a", &script).await;
-        let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
-        let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+        let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
+        let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
         Fixture { script, _backend: backend, _discovery: discovery, proxy }
     }
 
@@ -50,7 +50,8 @@
 /// A request whose client waits so long, with a body of so many bytes.
 fn request_text(client_timeout: Duration, number: usize, body_bytes: usize) -> String {
     let deadline = format!("Req-Deadline-Ms: {}", client_timeout.as_millis());
-    let head = call("POST /once", &format!("{number:016x}")).replace("Req-Deadline-Ms: 60000", &deadline);
+    let head =
+        request_head("POST /once", &format!("{number:016x}")).replace("Req-Deadline-Ms: 60000", &deadline);
     let head = head.replace("Host: o", &format!("Host: o\r\nContent-Length: {body_bytes}"));
     head + &"x".repeat(body_bytes)
 }
@@ -65,7 +66,7 @@
 async fn queued_clients(proxy: &Proxy, client_timeout: Duration, body_bytes: usize) -> Vec<WaitingClient> {
     let mut clients = Vec::new();
     for number in 0..AT_ONCE {
-        let mut stream = connected(proxy.addr).await;
+        let mut stream = connect_tcp(proxy.addr).await;
         let text = request_text(client_timeout, number, body_bytes);
         in_time(stream.write_all(text.as_bytes())).await.expect("the system takes it");
         clients.push(WaitingClient { stream, sent_at: Instant::now() });
@@ -85,7 +86,7 @@
     fixture.proxy.resume_process().await;
     // Then: each is served, and the backend was told of no more time than was left by then.
     for client in &mut clients {
-        assert_eq!(status(&mut client.stream).await, Some(200));
+        assert_eq!(read_status(&mut client.stream).await, Some(200));
     }
     let told = fixture.told();
     println!("{told:?}");
@@ -113,7 +114,7 @@
     fixture.proxy.pause().await;
     let text = request_text(CLIENT_TIMEOUT, 0, 0);
     let (first, rest) = text.split_at(text.len() / 2);
-    let mut stream = connected(fixture.proxy.addr).await;
+    let mut stream = connect_tcp(fixture.proxy.addr).await;
     stream.write_all(first.as_bytes()).await.expect("the system takes it");
     sleep_until(Instant::now() + QUEUE_TIME).await;
     // When: the rest comes right before the program goes on.
@@ -121,7 +122,7 @@
     stream.write_all(rest.as_bytes()).await.expect("the system takes it");
     fixture.proxy.resume_process().await;
     // Then: only the time since then is taken from what the backend is told.
-    assert_eq!(status(&mut stream).await, Some(200));
+    assert_eq!(read_status(&mut stream).await, Some(200));
     let passed = rest_began_at.elapsed();
     let told = fixture.told();
     println!("{told:?}, {passed:?} passed");
@@ -139,7 +140,7 @@
     sleep_until(last_sent_at + QUEUE_TIME).await;
     fixture.proxy.resume_process().await;
     for client in &mut clients {
-        let answer = status(&mut client.stream).await;
+        let answer = read_status(&mut client.stream).await;
         assert!(matches!(answer, Some(429 | 502 | 503 | 504)), "{answer:?}");
     }
     assert_eq!(fixture.told(), []);
--- a/crates/proxy/tests/newcomers.rs
+++ b/crates/proxy/tests/newcomers.rs
@@ -99,7 +99,7 @@
         "GET /look HTTP/1.1\r\nHost: o\r\nReq-Id: {id}\r\nReq-Owner: acme\r\nReq-Deadline-Ms: {deadline_ms}\r\n\r\n"
     );
     stream.write_all(head.as_bytes()).await.ok()?;
-    status(&mut stream).await
+    read_status(&mut stream).await
 }
 
 /// An id that no other request of this program has.
@@ -129,10 +129,11 @@
     let script = Arc::new(BackendScript::default());
     script.service_time_ms.store(SERVICE_TIME_MS, SeqCst);
     let backend = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     config["limits"]["sockets"] = DESCRIPTORS.into();
-    let mut proxy = Proxy::start_as(&config, &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")).await;
+    let mut proxy =
+        Proxy::start_with_command(&config, &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")).await;
     let log = collect_log(&mut proxy);
     let crowd = BusyCrowd::start(proxy.addr).await;
     let fates = newcomers(proxy.addr, first_byte_after).await;
@@ -189,17 +190,17 @@
 async fn proxy_with_few_places() -> (Backend, Discovery, Proxy) {
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     config["limits"]["sockets"] = (2 * PLACES + 32).into();
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     (backend, discovery, proxy)
 }
 
 /// A request up to the middle of its body.
 fn begin_upload() -> String {
-    let head = call("POST /once", &format!("{:016x}", fresh_id()));
+    let head = request_head("POST /once", &format!("{:016x}", fresh_id()));
     let length = BODY_BEGIN.len() + BODY_REST.len();
     head.replace("Host: o\r\n", &format!("Host: o\r\nContent-Length: {length}\r\n")) + BODY_BEGIN
 }
@@ -211,9 +212,9 @@
     // Given: all places are taken by clients that have sent half of their heads.
     let mut senders = Vec::new();
     for _ in 0..PLACES {
-        let text = call("GET /look?k=1", &format!("{:016x}", fresh_id()));
+        let text = request_head("GET /look?k=1", &format!("{:016x}", fresh_id()));
         let (first, rest) = text.split_at(text.len() / 2);
-        let mut sender = connected(proxy.addr).await;
+        let mut sender = connect_tcp(proxy.addr).await;
         sender.write_all(first.as_bytes()).await.expect("open");
         senders.push((sender, rest.to_string()));
     }
@@ -224,7 +225,7 @@
     // Then: all have their answers.
     for (mut sender, rest) in senders {
         sender.write_all(rest.as_bytes()).await.expect("open");
-        assert!(status(&mut sender).await.is_some(), "it was closed unanswered");
+        assert!(read_status(&mut sender).await.is_some(), "it was closed unanswered");
     }
 }
 
@@ -236,10 +237,10 @@
     let mut senders = Vec::new();
     for _ in 0..PLACES {
         let mut sender = RawConnection::connect(proxy.addr).await;
-        sender.write(call("GET /look", &format!("{:016x}", fresh_id()))).await;
+        sender.write(request_head("GET /look", &format!("{:016x}", fresh_id()))).await;
         assert_eq!(sender.read_answer().await.expect("an answer").0, 200);
         sender.write(begin_upload()).await;
-        all_is_read(&proxy, &sender).await;
+        wait_until_read(&proxy, &sender).await;
         senders.push(sender);
     }
     // When: others come and are served, and the rest of the bodies after them.
@@ -280,10 +281,10 @@
 async fn a_crowd_that_comes_again_and_again_does_not_fill_the_memory() {
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     config["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS});
-    let proxy = Proxy::start_as(&config, &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")).await;
+    let proxy = Proxy::start_with_command(&config, &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")).await;
     let shut_out = Arc::new(watch::Sender::new(0));
     let mut crowd = JoinSet::new();
     for _ in 0..DESCRIPTORS {
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -23,8 +23,8 @@
 async fn fixture(settings: serde_json::Value) -> Fixture {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
     Fixture { script, a, b, discovery, proxy }
 }
 
@@ -59,7 +59,7 @@
 async fn what_never_ran_is_sent_again_whatever_its_class() {
     let s = fixture(settings()).await;
     for (n, status) in [503, 504].into_iter().enumerate() {
-        s.script.give([BackendBehavior::Decline(status)]);
+        s.script.enqueue([BackendBehavior::Decline(status)]);
         assert_eq!(s.proxy.call("once").await.0, 200);
         assert_eq!(s.script.seen.borrow().len(), 2 * (n + 1));
     }
@@ -72,16 +72,16 @@
         || BackendBehavior::Answer(500),
         || BackendBehavior::Answer(503),
         || BackendBehavior::Answer(429),
-        || BackendBehavior::Break,
-        || BackendBehavior::Half,
+        || BackendBehavior::CloseWithoutResponse,
+        || BackendBehavior::TruncateResponse,
     ] {
         let s = fixture(settings()).await;
-        s.script.give([order()]);
+        s.script.enqueue([order()]);
         assert_eq!(s.proxy.call("once").await.0, 502);
         assert_eq!(s.script.seen.borrow().len(), 1);
         for class in ["look", "keep"] {
             let before = s.script.seen.borrow().len();
-            s.script.give([order()]);
+            s.script.enqueue([order()]);
             let (status, body) = s.proxy.call(class).await;
             assert_eq!((status, body.len()), (200, 1));
             assert_eq!(s.script.seen.borrow().len(), before + 2);
@@ -94,22 +94,22 @@
 async fn goes_round(addr: std::net::SocketAddr) {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
-    let discovery = Discovery::start(vec![line("a", addr, "SERVING"), b.line("SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, with_cap("connectTimeout", 250.0.into())).await;
-    script.give([BackendBehavior::Decline(503)]);
+    let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING"), b.endpoint("SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, with_cap("connectTimeout", 250.0.into())).await;
+    script.enqueue([BackendBehavior::Decline(503)]);
     assert_eq!(proxy.call("once").await, (200, "b".into()));
     assert_eq!(script.requests_at("b"), 2);
 }
 
 #[tokio::test]
 async fn a_refused_connection_proves_that_nothing_ran() {
-    let (_held, addr) = refusing();
+    let (_held, addr) = bound_socket_without_listener();
     goes_round(addr).await;
 }
 
 #[tokio::test]
 async fn a_connection_that_never_comes_up_proves_that_nothing_ran() {
-    let (listener, _held) = silent().await;
+    let (listener, _held) = listener_with_full_backlog().await;
     goes_round(listener.local_addr().expect("bound")).await;
 }
 
@@ -120,11 +120,11 @@
     for _ in 0..20 {
         assert_eq!(client.call("once").await.0, 200);
     }
-    let connections = || s.a.total() + s.b.total();
+    let connections = || s.a.total_connections() + s.b.total_connections();
     assert!(connections() <= 2, "{} connections", connections());
     // The backends' idle close must not become a reset, which would fail an unsafe request.
-    s.a.close_idle().await;
-    s.b.close_idle().await;
+    s.a.close_idle_connections().await;
+    s.b.close_idle_connections().await;
     for _ in 0..20 {
         assert_eq!(client.call("once").await.0, 200);
     }
@@ -135,8 +135,8 @@
     let s = fixture(with_cap("connIdle", 3000.0.into())).await;
     assert_eq!(s.proxy.call("look").await.0, 200);
     // The backends close nothing by themselves.
-    s.a.all_closed().await;
-    s.b.all_closed().await;
+    s.a.wait_until_all_closed().await;
+    s.b.wait_until_all_closed().await;
     assert_eq!(s.proxy.call("once").await.0, 200);
 }
 
@@ -146,11 +146,11 @@
     for _ in 0..20 {
         assert_eq!(s.proxy.call("once").await.0, 200);
     }
-    let (mut a, mut b) = (s.a.line("SERVING"), s.b.line("SERVING"));
+    let (mut a, mut b) = (s.a.endpoint("SERVING"), s.b.endpoint("SERVING"));
     (a["born_ms"], b["born_ms"]) = (1.0.into(), 1.0.into());
     s.discovery.publish(vec![a, b]).await;
-    s.a.all_closed().await;
-    s.b.all_closed().await;
+    s.a.wait_until_all_closed().await;
+    s.b.wait_until_all_closed().await;
     assert_eq!(s.proxy.call("once").await.0, 200);
 }
 
@@ -159,10 +159,10 @@
 async fn connections_that_are_not_needed_are_left_to_grow_old() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, with_cap("connIdle", 3000.0.into())).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, with_cap("connIdle", 3000.0.into())).await;
     let release = Arc::new(Notify::new());
-    script.give([BackendBehavior::Hold(release.clone()), BackendBehavior::Hold(release.clone())]);
+    script.enqueue([BackendBehavior::Hold(release.clone()), BackendBehavior::Hold(release.clone())]);
     let (mut one, mut two) = (proxy.client().await, proxy.client().await);
     let held = [
         tokio::spawn(async move { one.call("look").await }),
@@ -174,51 +174,51 @@
     for call in held {
         assert_eq!(call.await.expect("no panic").0, 200);
     }
-    assert_eq!(a.total(), 2);
+    assert_eq!(a.total_connections(), 2);
     in_time(async {
-        while *a.open.borrow() > 1 {
+        while *a.open_connections.borrow() > 1 {
             assert_eq!(proxy.call("look").await.0, 200);
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     })
     .await;
-    assert_eq!(a.total(), 2, "one of the two was used all the time");
+    assert_eq!(a.total_connections(), 2, "one of the two was used all the time");
 }
 
 #[tokio::test]
 async fn nothing_new_goes_to_a_backend_that_drains_and_what_it_has_is_finished() {
     let s = fixture(settings()).await;
     let release = Arc::new(Notify::new());
-    s.script.give([BackendBehavior::Hold(release.clone())]);
+    s.script.enqueue([BackendBehavior::Hold(release.clone())]);
     let mut client = s.proxy.client().await;
     let held = tokio::spawn(async move { client.call("once").await });
     s.script.wait_for_requests(1).await;
     let busy = s.script.seen.borrow()[0].0;
     let (drains, other) = if busy == "a" { (&s.a, &s.b) } else { (&s.b, &s.a) };
-    s.discovery.publish(vec![drains.line("DRAINING"), other.line("SERVING")]).await;
+    s.discovery.publish(vec![drains.endpoint("DRAINING"), other.endpoint("SERVING")]).await;
     for _ in 0..20 {
         assert_eq!(s.proxy.call("look").await, (200, other.name.into()));
     }
     release.notify_one();
     assert_eq!(held.await.expect("no panic"), (200, busy.into()));
     // Its connection is not kept either: nothing will go over it.
-    drains.all_closed().await;
-    s.discovery.publish(vec![drains.line("SERVING"), other.line("DRAINING")]).await;
+    drains.wait_until_all_closed().await;
+    s.discovery.publish(vec![drains.endpoint("SERVING"), other.endpoint("DRAINING")]).await;
     assert_eq!(s.proxy.call("look").await, (200, drains.name.into()));
 }
 
 #[tokio::test]
 async fn a_connect_that_outlasts_the_grace_of_a_drain_carries_nothing() {
-    let (listener, held) = silent().await;
+    let (listener, held) = listener_with_full_backlog().await;
     let addr = listener.local_addr().expect("bound");
-    let discovery = Discovery::start(vec![line("a", addr, "SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, with_cap("connectTimeout", 20_000.0.into())).await;
+    let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, with_cap("connectTimeout", 20_000.0.into())).await;
     let mut client = proxy.client().await;
     let call = tokio::spawn(async move { client.call("once").await });
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
-    in_time(connecting(addr)).await;
-    discovery.publish(vec![line("a", addr, "DRAINING"), b.line("SERVING")]).await;
+    in_time(wait_for_connect_attempt(addr)).await;
+    discovery.publish(vec![endpoint("a", addr, "DRAINING"), b.endpoint("SERVING")]).await;
     let told = Instant::now();
     tokio::time::sleep(Duration::from_millis(600)).await;
     // Only now does the queue get room, and the connection comes up when the system next tries.
@@ -240,7 +240,7 @@
     for _ in 0..100 {
         assert_eq!(s.proxy.call("look").await.0, 200);
     }
-    assert_eq!(*s.script.left.borrow(), attempts);
+    assert_eq!(*s.script.abandoned.borrow(), attempts);
 }
 
 /// Backends learn from the close of its connection that an attempt is given up, and stop its work.
@@ -248,7 +248,7 @@
 async fn a_client_that_leaves_takes_its_attempt_along() {
     for may_duplicate in [false, true] {
         let s = fixture(with_cap("mayDuplicate", may_duplicate.into())).await;
-        s.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
+        s.script.enqueue([BackendBehavior::Hold(Arc::new(Notify::new()))]);
         let mut client = s.proxy.client().await;
         let call = tokio::spawn(async move { client.call("look").await });
         s.script.wait_for_requests(1).await;
@@ -272,7 +272,7 @@
     let (mut clients, mut releases, mut refusal) = (Vec::new(), Vec::new(), Vec::new());
     while refusal.is_empty() {
         let release = Arc::new(Notify::new());
-        s.script.give([BackendBehavior::Hold(release.clone())]);
+        s.script.enqueue([BackendBehavior::Hold(release.clone())]);
         releases.push(release);
         let mut client = TcpStream::connect(s.proxy.addr).await.expect("it listens");
         let call = raw_request("GET /look", &clients.len().to_string(), limit);
@@ -340,7 +340,7 @@
 #[tokio::test]
 async fn a_request_is_failed_before_its_client_gives_up_and_its_connection_is_closed() {
     let s = fixture(settings()).await;
-    s.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
+    s.script.enqueue([BackendBehavior::Hold(Arc::new(Notify::new()))]);
     let call = request("once").body(Full::default()).expect("well formed");
     let (mut parts, body) = call.into_parts();
     parts.headers.insert("req-deadline-ms", "700".parse().expect("a value"));
@@ -356,7 +356,7 @@
 async fn at_a_planned_stop_all_that_was_admitted_is_answered() {
     let mut s = fixture(settings()).await;
     let release = Arc::new(Notify::new());
-    s.script.give([BackendBehavior::Hold(release.clone())]);
+    s.script.enqueue([BackendBehavior::Hold(release.clone())]);
     let (mut busy, mut idle) = (s.proxy.client().await, s.proxy.client().await);
     let held = tokio::spawn(async move { busy.call("once").await });
     s.script.wait_for_requests(1).await;
@@ -370,7 +370,7 @@
     .await;
     release.notify_one();
     assert_eq!(held.await.expect("no panic").0, 200);
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 /// Others may be down too: clients keep the connections that they have while a request can still be in time.
@@ -387,37 +387,37 @@
     in_time(async { while TcpStream::connect(s.proxy.addr).await.is_ok() {} }).await;
     assert_eq!(idle.call("look").await.0, 200);
     drop(idle);
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 #[tokio::test]
 async fn a_planned_stop_does_not_wait_for_an_unresponsive_backend() {
     let mut s = fixture(settings()).await;
-    s.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
+    s.script.enqueue([BackendBehavior::Hold(Arc::new(Notify::new()))]);
     let mut client = s.proxy.client().await;
     let held = tokio::spawn(async move { client.call("once").await });
     s.script.wait_for_requests(1).await;
     s.proxy.terminate().await;
     let (status, _) = held.await.expect("no panic");
     assert_eq!(status, 504, "it may have run");
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 #[tokio::test]
 async fn a_new_configuration_moves_the_proxy_to_another_discovery() {
     let mut s = fixture(settings()).await;
     // The other discovery's version is lower than the one held: carried across, it would wait for ever.
-    s.discovery.publish(vec![s.a.line("SERVING")]).await;
-    let other = Discovery::start(vec![s.b.line("SERVING")]).await;
+    s.discovery.publish(vec![s.a.endpoint("SERVING")]).await;
+    let other = Discovery::start(vec![s.b.endpoint("SERVING")]).await;
     s.proxy.reload("{", "configuration rejected").await;
     assert_eq!(s.proxy.call("look").await, (200, "a".into()));
     s.proxy.reload(&other.config(settings()).to_string(), "configuration applied").await;
     other.wait_until_applied().await;
-    in_time(s.discovery.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+    in_time(s.discovery.open_connections.subscribe().wait_for(|n| *n == 0)).await.expect("open");
     for _ in 0..20 {
         assert_eq!(s.proxy.call("look").await, (200, "b".into()));
     }
-    other.publish(vec![s.a.line("SERVING")]).await;
+    other.publish(vec![s.a.endpoint("SERVING")]).await;
     assert_eq!(s.proxy.call("look").await, (200, "a".into()));
 }
 
@@ -425,10 +425,10 @@
 async fn running_out_of_descriptors_ends_nothing() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
     // The system allows far fewer than the configuration says.
     let config = discovery.config(settings());
-    let proxy = Proxy::start_as(&config, "ulimit -n 24; exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "ulimit -n 24; exec \"$0\"").await;
     discovery.wait_until_applied().await;
     let mut crowd = Vec::new();
     for _ in 0..60 {
@@ -444,10 +444,10 @@
 async fn clients_at_rest_do_not_keep_others_out() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     config["limits"]["sockets"] = 64.into();
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     // Some have made a call and rest, some have never said a word; there is room for 40 at the most.
     let (mut rest, mut mute) = (Vec::new(), Vec::new());
@@ -574,7 +574,7 @@
 async fn the_id_of_an_open_request_is_not_accepted_twice() {
     let s = fixture(settings()).await;
     let release = Arc::new(Notify::new());
-    s.script.give([BackendBehavior::Hold(release.clone())]);
+    s.script.enqueue([BackendBehavior::Hold(release.clone())]);
     let call = || {
         let call = request("look").header("x-try", "1").body(Full::default()).expect("well formed");
         let (mut parts, body) = call.into_parts();
@@ -597,7 +597,7 @@
     let s = fixture(settings()).await;
     for status in [400, 404, 413] {
         let before = s.script.seen.borrow().len();
-        s.script.give([BackendBehavior::Answer(status)]);
+        s.script.enqueue([BackendBehavior::Answer(status)]);
         assert_eq!(s.proxy.call("look").await.0, 502);
         assert_eq!(s.script.seen.borrow().len(), before + 1);
     }
@@ -608,7 +608,7 @@
 async fn the_time_of_a_request_counts_from_its_coming() {
     let s = fixture(settings()).await;
     let release = Arc::new(Notify::new());
-    s.script.give([BackendBehavior::Hold(release.clone())]);
+    s.script.enqueue([BackendBehavior::Hold(release.clone())]);
     let first = raw_request("GET /look", "a", "Req-Deadline-Ms: 60000");
     let second = raw_request("GET /look", "b", "Req-Deadline-Ms: 300|Connection: close");
     let addr = s.proxy.addr;
@@ -628,10 +628,10 @@
 async fn bodies_do_not_outgrow_the_memory() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     config["limits"]["memory_mb"] = 8.into();
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     // A quarter of it holds 32 such bodies. None of these ends; the first to pass the limit is told at once.
     let mut parts = Vec::new();
@@ -655,10 +655,10 @@
 /// One scripted backend, and a proxy that knows no other.
 async fn scripted_scene(
     bytes: impl Fn(usize) -> Option<[Vec<u8>; 2]> + Send + Sync + 'static,
-) -> (Scripted, Proxy, Discovery) {
-    let backend = scripted(bytes).await;
-    let discovery = Discovery::start(vec![line("a", backend.addr, "SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+) -> (CannedBackend, Proxy, Discovery) {
+    let backend = canned_backend(bytes).await;
+    let discovery = Discovery::start(vec![endpoint("a", backend.addr, "SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     (backend, proxy, discovery)
 }
 
@@ -686,7 +686,7 @@
         let start = Instant::now();
         assert_eq!(proxy.call("once").await.0, 502, "spoilt answer {n} is neither served nor refused");
         assert!(start.elapsed() < Duration::from_secs(4), "nothing is awaited on it");
-        in_time(backend.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+        in_time(backend.open_connections.subscribe().wait_for(|n| *n == 0)).await.expect("open");
     }
     assert_eq!(proxy.call("once").await, (200, "good".into()));
     assert_eq!(backend.requests.load(SeqCst), count + 1, "none was sent again");
@@ -713,7 +713,7 @@
         assert_eq!(client.call("once").await, (200, format!("answer {n}")));
         if n % 4 != 3 {
             // Such a connection is of no further use, once more came than belonged to the answer.
-            in_time(backend.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+            in_time(backend.open_connections.subscribe().wait_for(|n| *n == 0)).await.expect("open");
         }
     }
     assert_eq!(backend.requests.load(SeqCst), 24);
@@ -723,18 +723,18 @@
 async fn connections_belong_to_the_process_and_not_to_its_address() {
     let script = Arc::new(BackendScript::default());
     let (a, other) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let discovery = Discovery::start(vec![line("old", a.addr, "SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let discovery = Discovery::start(vec![endpoint("old", a.addr, "SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     assert_eq!(proxy.call("once").await.0, 200);
     // A new one at the address of one that has gone: it knows nothing of the connections of the other.
-    discovery.publish(vec![line("new", a.addr, "SERVING"), line("old", a.addr, "DRAINING")]).await;
-    a.all_closed().await;
+    discovery.publish(vec![endpoint("new", a.addr, "SERVING"), endpoint("old", a.addr, "DRAINING")]).await;
+    a.wait_until_all_closed().await;
     assert_eq!(proxy.call("once").await.0, 200);
-    assert_eq!((a.total(), *a.open.borrow()), (2, 1));
+    assert_eq!((a.total_connections(), *a.open_connections.borrow()), (2, 1));
     // And the old one's going takes nothing from it.
-    discovery.publish(vec![line("new", a.addr, "SERVING"), other.line("DRAINING")]).await;
+    discovery.publish(vec![endpoint("new", a.addr, "SERVING"), other.endpoint("DRAINING")]).await;
     assert_eq!(proxy.call("once").await.0, 200);
-    assert_eq!((a.total(), *a.open.borrow()), (2, 1));
+    assert_eq!((a.total_connections(), *a.open_connections.borrow()), (2, 1));
 }
 
 #[tokio::test]
@@ -743,11 +743,11 @@
     let a = Backend::start("a", &script).await;
     let odd = serde_json::json!({"host": 5});
     let discovery = Discovery::start(vec![odd.clone()]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     let ready =
         || hyper::Request::get("/health/ready").header("host", "p").body(Full::default()).expect("good");
     assert_eq!(proxy.client().await.send(ready()).await.0, 503);
-    discovery.publish(vec![odd, a.line("SERVING"), serde_json::json!("?")]).await;
+    discovery.publish(vec![odd, a.endpoint("SERVING"), serde_json::json!("?")]).await;
     assert_eq!(proxy.client().await.send(ready()).await.0, 200);
     assert_eq!(proxy.call("look").await, (200, "a".into()));
 }
@@ -784,10 +784,10 @@
 async fn clients_that_rest_give_way_before_those_that_write() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     config["limits"]["sockets"] = 64.into();
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     let (mut writing, mut rest) = (Vec::new(), Vec::new());
     for n in 0..4 {
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -24,10 +24,10 @@
 async fn fixture() -> Fixture {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     config["management"] = "127.0.0.1:0".into();
-    let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
+    let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     Fixture { script, a, discovery, proxy, config }
 }
@@ -74,7 +74,7 @@
 async fn a_class_that_is_gone_is_unknown_and_what_it_has_in_work_is_answered() {
     let mut s = fixture().await;
     let (hold, mut client) = (Arc::new(Notify::new()), s.proxy.client().await);
-    s.script.give([BackendBehavior::Hold(hold.clone())]);
+    s.script.enqueue([BackendBehavior::Hold(hold.clone())]);
     let held = tokio::spawn(async move { client.call("look").await });
     s.script.wait_for_requests(1).await;
     let unknown = s.proxy.call("unheard").await;
@@ -114,13 +114,13 @@
             }
         });
         let b = Backend::start("b", &script).await;
-        let discovery = Discovery::start(vec![line("silent", addr, "SERVING")]).await;
+        let discovery = Discovery::start(vec![endpoint("silent", addr, "SERVING")]).await;
         let mut config = discovery.config(settings());
-        let mut proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+        let mut proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
         let mut client = proxy.client().await;
         let held = tokio::spawn(async move { client.call(class).await });
         in_time(arrived.wait_for(|n| *n == 1)).await.expect("open");
-        discovery.publish(vec![line("silent", addr, "DRAINING"), b.line("SERVING")]).await;
+        discovery.publish(vec![endpoint("silent", addr, "DRAINING"), b.endpoint("SERVING")]).await;
         let place = if class == "look" { 0 } else { 2 };
         assert_eq!(config["settings"]["classes"][place]["semantics"], before);
         config["settings"]["classes"][place]["semantics"] = after.into();
@@ -202,7 +202,7 @@
     // A second process of the same proxy has the same file, and later a newer one.
     let other = s.proxy.start_beside(&s.config).await;
     let processes = |one: u64, two: u64| {
-        let mut all = vec![(s.proxy.id(), one), (other.id(), two)];
+        let mut all = vec![(s.proxy.pid(), one), (other.pid(), two)];
         all.sort_unstable();
         Value::from_iter(all.into_iter().map(|(pid, version)| json!({"pid": pid, "version": version})))
     };
@@ -221,7 +221,7 @@
     let mut s = fixture().await;
     let mut client = s.proxy.client().await;
     assert_eq!(client.call("look").await.0, 200);
-    let mut backends = s.a.open.subscribe();
+    let mut backends = s.a.open_connections.subscribe();
     backends.mark_unchanged();
     for n in 1..=20 {
         s.change(|c| {
@@ -233,16 +233,16 @@
         .await;
         assert_eq!(client.call("look").await, (200, "a".into()));
     }
-    s.discovery.publish(vec![s.a.line("SERVING")]).await;
+    s.discovery.publish(vec![s.a.endpoint("SERVING")]).await;
     assert!(!backends.has_changed().expect("open"));
-    assert_eq!(s.discovery.begun.load(SeqCst), 1, "the watch goes on");
+    assert_eq!(s.discovery.full_list_requests.load(SeqCst), 1, "the watch goes on");
     assert_eq!(s.version().await, 21);
     // Where discovery moves, and nothing else, only the watch does.
-    let other = Discovery::start(vec![s.a.line("SERVING")]).await;
+    let other = Discovery::start(vec![s.a.endpoint("SERVING")]).await;
     let moved = other.config(settings())["discovery"].clone();
     s.change(|c| c["discovery"] = moved).await;
     other.wait_until_applied().await;
-    in_time(s.discovery.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+    in_time(s.discovery.open_connections.subscribe().wait_for(|n| *n == 0)).await.expect("open");
     assert_eq!(client.call("look").await, (200, "a".into()));
     assert!(!backends.has_changed().expect("open"));
 }
--- a/crates/proxy/tests/reload_faults.rs
+++ b/crates/proxy/tests/reload_faults.rs
@@ -29,13 +29,13 @@
 async fn fixture() -> Fixture {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let old = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
+    let old = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
     let calls = FailingCalls::none();
-    let proxy = Proxy::start_as(&old.config(settings()), &calls.command()).await;
+    let proxy = Proxy::start_with_command(&old.config(settings()), &calls.command()).await;
     old.wait_until_applied().await;
-    let moved = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    moved.change(vec![a.line("DRAINING"), b.line("SERVING")]);
-    old.set(DiscoveryBehavior::Refusing).await;
+    let moved = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
+    moved.replace_list(vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
+    old.set_behavior(DiscoveryBehavior::Refusing).await;
     let config = moved.config(settings());
     Fixture { script, moved, proxy, config, calls, _old: old, _backends: [a, b] }
 }
@@ -76,7 +76,7 @@
         fixture.calls.fail("open", error);
         std::fs::write(&fixture.proxy.config, fixture.config.to_string()).expect("it is written");
         let signalled_at = Instant::now();
-        fixture.proxy.reload_as_it_is("configuration rejected").await;
+        fixture.proxy.reload_without_writing("configuration rejected").await;
         sleep(FAULT).await;
         fixture.calls.succeed();
         fixture.check_drain_is_kept(signalled_at, &error.to_string()).await;
@@ -89,7 +89,7 @@
     let mut fixture = fixture().await;
     std::fs::remove_file(&fixture.proxy.config).expect("it is there");
     let signalled_at = Instant::now();
-    fixture.proxy.reload_as_it_is("configuration rejected").await;
+    fixture.proxy.reload_without_writing("configuration rejected").await;
     sleep(FAULT).await;
     std::fs::write(&fixture.proxy.config, fixture.config.to_string()).expect("it is written");
     fixture.check_drain_is_kept(signalled_at, "missing").await;
--- a/crates/proxy/tests/restart.rs
+++ b/crates/proxy/tests/restart.rs
@@ -42,10 +42,10 @@
         let script = Arc::new(BackendScript::default());
         let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
         let gone = TcpStream::connect(a.addr).await.expect("it listens").local_addr().expect("bound");
-        let stale = [line("gone", gone, "SERVING"), a.line("SERVING")];
-        let discovery = Discovery::start(vec![b.line("SERVING")]).await;
-        discovery.set(down).await;
-        let proxy = Proxy::start_as(&config(&discovery, how, Some(&stale)), "exec \"$0\"").await;
+        let stale = [endpoint("gone", gone, "SERVING"), a.endpoint("SERVING")];
+        let discovery = Discovery::start(vec![b.endpoint("SERVING")]).await;
+        discovery.set_behavior(down).await;
+        let proxy = Proxy::start_with_command(&config(&discovery, how, Some(&stale)), "exec \"$0\"").await;
         assert!(ready(&proxy).await, "{how}");
         let mut clients = JoinSet::new();
         for _ in 0..8 {
@@ -55,7 +55,7 @@
         while let Some(answer) = clients.join_next().await {
             assert_eq!(answer.expect("no panic"), (200, "a".into()));
         }
-        discovery.set(DiscoveryBehavior::Up).await;
+        discovery.set_behavior(DiscoveryBehavior::Up).await;
         discovery.wait_until_applied().await;
         assert!(ready(&proxy).await);
         assert_eq!(proxy.call("look").await, (200, "b".into()));
@@ -69,11 +69,11 @@
     {
         let script = Arc::new(BackendScript::default());
         let a = Backend::start("a", &script).await;
-        let discovery = Discovery::start(vec![a.line("SERVING")]).await;
-        discovery.set(down).await;
-        let proxy = Proxy::start_as(&config(&discovery, how, None), "exec \"$0\"").await;
+        let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
+        discovery.set_behavior(down).await;
+        let proxy = Proxy::start_with_command(&config(&discovery, how, None), "exec \"$0\"").await;
         assert!(!ready(&proxy).await, "{how}");
-        discovery.set(DiscoveryBehavior::Up).await;
+        discovery.set_behavior(DiscoveryBehavior::Up).await;
         discovery.wait_until_applied().await;
         assert!(ready(&proxy).await, "{how}");
         assert_eq!(proxy.call("look").await, (200, "a".into()));
--- a/crates/proxy/tests/start_faults.rs
+++ b/crates/proxy/tests/start_faults.rs
@@ -11,7 +11,7 @@
 async fn fixture() -> (Arc<BackendScript>, Backend, Discovery, Value) {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let discovery = Discovery::start(vec![a.line("SERVING")]).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
     let mut config = discovery.config(settings());
     config["management"] = "127.0.0.1:0".into();
     (script, a, discovery, config)
@@ -25,9 +25,9 @@
         let calls = FailingCalls::none();
         calls.fail("open", error);
         let mut starting = StartingProxy::spawn(&config, &calls.command());
-        starting.logged("read again").await;
+        starting.wait_for_log_line("read again").await;
         calls.succeed();
-        let proxy = starting.listening().await;
+        let proxy = starting.wait_until_listening().await;
         discovery.wait_until_applied().await;
         assert_eq!(proxy.call("look").await, (200, "a".into()), "{error}");
     }
@@ -41,9 +41,9 @@
         let calls = FailingCalls::none();
         calls.fail("bind", error);
         let mut starting = StartingProxy::spawn(&config, &calls.command());
-        starting.logged("bound again").await;
+        starting.wait_for_log_line("bound again").await;
         calls.succeed();
-        let proxy = starting.listening().await;
+        let proxy = starting.wait_until_listening().await;
         discovery.wait_until_applied().await;
         assert_eq!(proxy.call("look").await, (200, "a".into()), "{error}");
     }
@@ -56,10 +56,10 @@
     let calls = FailingCalls::none();
     calls.fail("open", Errno::EIO);
     let mut starting = StartingProxy::spawn(&config, &calls.command());
-    starting.logged("read again").await;
-    starting.kill("-HUP").await;
+    starting.wait_for_log_line("read again").await;
+    starting.send_signal("-HUP").await;
     calls.succeed();
-    let proxy = starting.listening().await;
+    let proxy = starting.wait_until_listening().await;
     discovery.wait_until_applied().await;
     assert_eq!(proxy.call("look").await, (200, "a".into()));
 }
--- a/crates/proxy/tests/stray_responses.rs
+++ b/crates/proxy/tests/stray_responses.rs
@@ -23,8 +23,8 @@
 #[tokio::test]
 async fn once_a_repeat_was_seen_no_client_gets_the_answer_of_another() {
     let backend = ScriptedBackend::start(|_, id| twice(&own_response(id))).await;
-    let discovery = Discovery::start(vec![line("a", backend.addr, "SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let discovery = Discovery::start(vec![endpoint("a", backend.addr, "SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     let mut client = proxy.client().await;
     // Given: a repeat that came while its connection was idle.
     assert_eq!(client.call("look").await.0, 200);
@@ -44,12 +44,12 @@
 
 /// A proxy before one backend, which repeats the response to its first request while nothing else is open.
 async fn proxy_before(backend: &ScriptedBackend) -> (Discovery, Proxy) {
-    let discovery = Discovery::start(vec![line("a", backend.addr, "SERVING")]).await;
+    let discovery = Discovery::start(vec![endpoint("a", backend.addr, "SERVING")]).await;
     let mut settings = settings();
     for class in settings["classes"].as_array_mut().expect("a list") {
         class["aim"] = MAX_QUEUE_WAIT_MS.into();
     }
-    let proxy = Proxy::wait_until_applied(&discovery, settings).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
     assert_eq!(proxy.call("look").await.0, 200);
     sleep(20 * REPEAT_DELAY).await;
     (discovery, proxy)
@@ -57,7 +57,9 @@
 
 /// The answers to requests in a row before a backend whose first response on a connection comes twice, and the others as
 /// the script says.
-async fn answers_before(script: impl Fn(usize, &str) -> Vec<Step> + Send + Sync + 'static) -> Vec<Answered> {
+async fn answers_before(
+    script: impl Fn(usize, &str) -> Vec<Step> + Send + Sync + 'static,
+) -> Vec<IdentifiedResponse> {
     let backend =
         ScriptedBackend::start(
             move |count, id| {
@@ -66,7 +68,7 @@
         )
         .await;
     let (_discovery, proxy) = proxy_before(&backend).await;
-    call_in_a_row(&proxy, "look", 50).await
+    call_sequentially(&proxy, "look", 50).await
 }
 
 /// Each request is served with its own answer.
@@ -158,7 +160,7 @@
         let script = move |_, id: &str| twice(&own_response(&long(id)));
         let backend = ScriptedBackend::start(script).await;
         let (_discovery, proxy) = proxy_before(&backend).await;
-        for (id, (status, body)) in call_in_a_row(&proxy, "look", 30).await {
+        for (id, (status, body)) in call_sequentially(&proxy, "look", 30).await {
             assert_eq!(status, 200);
             assert!(body == long(&id), "the body of {length} bytes is that of another request");
         }
@@ -180,7 +182,7 @@
         };
         let backend = ScriptedBackend::start(script).await;
         let (_discovery, proxy) = proxy_before(&backend).await;
-        for (id, (status, body)) in call_in_a_row(&proxy, "once", 50).await {
+        for (id, (status, body)) in call_sequentially(&proxy, "once", 50).await {
             let was_served = served.lock().expect("no panic").contains_key(&id);
             assert_eq!(status == 200, was_served, "{id} was answered {status} by a copy");
             assert!(status != 200 || body == id, "{id} was answered with {body}");
@@ -198,7 +200,7 @@
     .await;
     let (_discovery, proxy) = proxy_before(&backend).await;
     let begun_at = Instant::now();
-    for (id, answer) in call_in_a_row(&proxy, "once", 300).await {
+    for (id, answer) in call_sequentially(&proxy, "once", 300).await {
         assert_eq!(answer, (200, "equal".to_string()));
         assert_eq!(backend.received.lock().expect("no panic")[&id], 1);
     }
@@ -226,7 +228,7 @@
     .await;
     let (_discovery, proxy) = proxy_before(&backend).await;
     let begun_at = Instant::now();
-    for (id, (status, body)) in call_in_a_row(&proxy, "once", CALLS).await {
+    for (id, (status, body)) in call_sequentially(&proxy, "once", CALLS).await {
         assert_eq!(status, 200);
         assert!(body == id || body == "equal");
     }
@@ -240,11 +242,12 @@
     for _ in 0..2 {
         backends.push(ScriptedBackend::start(|_, id| twice(&own_response(id))).await);
     }
-    let list = ["a", "b"].iter().zip(&backends).map(|(name, backend)| line(name, backend.addr, "SERVING"));
+    let list =
+        ["a", "b"].iter().zip(&backends).map(|(name, backend)| endpoint(name, backend.addr, "SERVING"));
     let discovery = Discovery::start(list.collect()).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     let mut wrong = 0;
-    let calls: [_; CLIENTS] = std::array::from_fn(|_| call_in_a_row(&proxy, "look", 300));
+    let calls: [_; CLIENTS] = std::array::from_fn(|_| call_sequentially(&proxy, "look", 300));
     let [a, b, c, d, e] = calls;
     let answers = tokio::join!(a, b, c, d, e);
     for (id, (status, body)) in [answers.0, answers.1, answers.2, answers.3, answers.4].concat() {
--- a/crates/proxy/tests/support/backend.rs
+++ b/crates/proxy/tests/support/backend.rs
@@ -8,13 +8,13 @@
     Answer(u16),
     Decline(u16),
     /// Ends the connection with no answer.
-    Break,
+    CloseWithoutResponse,
     /// Ends it in the middle of an answer.
-    Half,
+    TruncateResponse,
     /// Serves once it is told to.
     Hold(Arc<Notify>),
     /// Declines once it is told to.
-    DeclineLater(Arc<Notify>),
+    HoldThenDecline(Arc<Notify>),
 }
 
 /// What backends have in common: the orders for the next requests, wherever they go, and what came.
@@ -23,13 +23,13 @@
     next: Mutex<VecDeque<BackendBehavior>>,
     pub seen: watch::Sender<Vec<(&'static str, Parts, Bytes)>>,
     /// Requests that ended before their backend answered.
-    pub left: watch::Sender<usize>,
+    pub abandoned: watch::Sender<usize>,
     /// How long a backend takes for a request without an order of its own, in milliseconds.
     pub service_time_ms: AtomicUsize,
 }
 
 impl BackendScript {
-    pub fn give(&self, script: impl IntoIterator<Item = BackendBehavior>) {
+    pub fn enqueue(&self, script: impl IntoIterator<Item = BackendBehavior>) {
         self.next.lock().expect("sound").extend(script);
     }
     /// Waits until so many requests have come.
@@ -46,7 +46,7 @@
 impl Drop for RequestGuard<'_> {
     fn drop(&mut self) {
         if self.1 {
-            self.0.left.send_modify(|n| *n += 1);
+            self.0.abandoned.send_modify(|n| *n += 1);
         }
     }
 }
@@ -71,7 +71,7 @@
     connections: Arc<AtomicUsize>,
     close: watch::Sender<()>,
     /// Connections that are open now.
-    pub open: Arc<watch::Sender<usize>>,
+    pub open_connections: Arc<watch::Sender<usize>>,
 }
 
 impl Backend {
@@ -107,32 +107,34 @@
                 });
             }
         });
-        Backend { name, addr, connections, close, open }
+        Backend { name, addr, connections, close, open_connections: open }
     }
 
     /// How many connections it has ever had.
-    pub fn total(&self) -> usize {
+    pub fn total_connections(&self) -> usize {
         self.connections.load(SeqCst)
     }
 
     /// Closes all its connections, which are idle, and waits until they are.
-    pub async fn close_idle(&self) {
+    pub async fn close_idle_connections(&self) {
         self.close.send_replace(());
-        self.all_closed().await;
+        self.wait_until_all_closed().await;
     }
 
-    pub async fn all_closed(&self) {
-        in_time(self.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+    pub async fn wait_until_all_closed(&self) {
+        in_time(self.open_connections.subscribe().wait_for(|n| *n == 0)).await.expect("open");
     }
 
-    pub fn line(&self, health: &str) -> Value {
-        line(self.name, self.addr, health)
+    pub fn endpoint(&self, health: &str) -> Value {
+        endpoint(self.name, self.addr, health)
     }
 }
 
 /// A backend that answers with bytes as they are: for the n-th request, counted over all its connections, those
 /// that `bytes` gives for it, the second part after a moment. It closes nothing, and serves where nothing is given.
-pub async fn scripted(bytes: impl Fn(usize) -> Option<[Vec<u8>; 2]> + Send + Sync + 'static) -> Scripted {
+pub async fn canned_backend(
+    bytes: impl Fn(usize) -> Option<[Vec<u8>; 2]> + Send + Sync + 'static,
+) -> CannedBackend {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
     let (count, open) = (Arc::new(AtomicUsize::new(0)), Arc::new(watch::Sender::new(0)));
@@ -162,17 +164,17 @@
             });
         }
     });
-    Scripted { addr, requests, open }
+    CannedBackend { addr, requests, open_connections: open }
 }
 
-pub struct Scripted {
+pub struct CannedBackend {
     pub addr: SocketAddr,
     pub requests: Arc<AtomicUsize>,
     /// Connections that are open now.
-    pub open: Arc<watch::Sender<usize>>,
+    pub open_connections: Arc<watch::Sender<usize>>,
 }
 
-pub fn line(host: &str, addr: SocketAddr, health: &str) -> Value {
+pub fn endpoint(host: &str, addr: SocketAddr, health: &str) -> Value {
     json!({"host": host, "dial": addr.to_string(), "site": "a", "class": "m", "block": 1,
            "health": health, "share": 1.0, "born_ms": 0})
 }
@@ -200,14 +202,14 @@
             *reply.status_mut() = StatusCode::from_u16(status).expect("a status");
             reply.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
         }
-        BackendBehavior::Break => return Err(io::Error::other("told to")),
-        BackendBehavior::Half => reply = Response::new(BrokenBody(false).boxed()),
+        BackendBehavior::CloseWithoutResponse => return Err(io::Error::other("told to")),
+        BackendBehavior::TruncateResponse => reply = Response::new(BrokenBody(false).boxed()),
         BackendBehavior::Hold(release) => {
             let mut left = RequestGuard(script, true);
             release.notified().await;
             left.1 = false;
         }
-        BackendBehavior::DeclineLater(release) => {
+        BackendBehavior::HoldThenDecline(release) => {
             release.notified().await;
             *reply.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             reply.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
--- a/crates/proxy/tests/support/client.rs
+++ b/crates/proxy/tests/support/client.rs
@@ -27,7 +27,7 @@
 }
 
 /// A request's id, and the status and the body of its answer.
-pub type Answered = (String, (u16, String));
+pub type IdentifiedResponse = (String, (u16, String));
 
 pub struct Client(pub SendRequest<Full<Bytes>>);
 
@@ -41,7 +41,7 @@
     }
 
     /// Waits until the proxy has closed the connection.
-    pub async fn closed(&mut self) {
+    pub async fn wait_until_closed(&mut self) {
         while !self.0.is_closed() {
             let _ = self.0.ready().await;
             tokio::task::yield_now().await;
@@ -49,7 +49,7 @@
     }
 
     /// Sends a request without a body, and gives its id and its answer.
-    pub async fn call_with_id(&mut self, request: hyper::http::request::Builder) -> Answered {
+    pub async fn call_with_id(&mut self, request: hyper::http::request::Builder) -> IdentifiedResponse {
         let request = request.body(Full::default()).expect("well formed");
         let id = request.headers()["req-id"].to_str().expect("text").to_string();
         (id, self.send(request).await)
--- a/crates/proxy/tests/support/discovery.rs
+++ b/crates/proxy/tests/support/discovery.rs
@@ -18,9 +18,9 @@
     list: Arc<watch::Sender<(u64, Vec<Value>)>>,
     held: Arc<watch::Sender<u64>>,
     /// How often the whole list was asked for, as a watch does at its beginning.
-    pub begun: Arc<AtomicUsize>,
+    pub full_list_requests: Arc<AtomicUsize>,
     /// Connections that are open now.
-    pub open: Arc<watch::Sender<usize>>,
+    pub open_connections: Arc<watch::Sender<usize>>,
     agent: Arc<watch::Sender<DiscoveryBehavior>>,
 }
 
@@ -98,19 +98,19 @@
                 });
             }
         });
-        Discovery { addr, list, held, begun, open, agent }
+        Discovery { addr, list, held, full_list_requests: begun, open_connections: open, agent }
     }
 
     /// From now on the agent answers, or not. Where it refuses, its connections have ended.
-    pub async fn set(&self, agent: DiscoveryBehavior) {
+    pub async fn set_behavior(&self, agent: DiscoveryBehavior) {
         self.agent.send_replace(agent);
         if agent == DiscoveryBehavior::Refusing {
-            in_time(self.open.subscribe().wait_for(|open| *open == 0)).await.expect("open");
+            in_time(self.open_connections.subscribe().wait_for(|open| *open == 0)).await.expect("open");
         }
     }
 
     /// Changes the list; whether the proxy is told is another matter.
-    pub fn change(&self, hosts: Vec<Value>) {
+    pub fn replace_list(&self, hosts: Vec<Value>) {
         self.list.send_modify(|(seq, list)| (*seq, *list) = (*seq + 1, hosts));
     }
 
@@ -129,7 +129,7 @@
 
     /// Changes the list and waits until the proxy holds it.
     pub async fn publish(&self, hosts: Vec<Value>) {
-        self.change(hosts);
+        self.replace_list(hosts);
         self.wait_until_applied().await;
     }
 }
--- a/crates/proxy/tests/support/proxy.rs
+++ b/crates/proxy/tests/support/proxy.rs
@@ -23,7 +23,7 @@
     /// Where operators call, if it has such an admin API.
     pub admin: Option<SocketAddr>,
     /// Its folder for temporary files.
-    pub folder: std::path::PathBuf,
+    pub temp_dir: std::path::PathBuf,
     /// The file of its configuration.
     pub config: std::path::PathBuf,
     child: Child,
@@ -42,22 +42,24 @@
 
 impl Proxy {
     pub async fn start(discovery: &Discovery, settings: Value) -> Self {
-        Proxy::start_as(&discovery.config(settings), "exec \"$0\"").await
+        Proxy::start_with_command(&discovery.config(settings), "exec \"$0\"").await
     }
 
     /// Starts the program by a shell command in which it is `$0`.
-    pub async fn start_as(config: &Value, command: &str) -> Self {
-        StartingProxy::spawn(config, command).listening().await
+    pub async fn start_with_command(config: &Value, command: &str) -> Self {
+        StartingProxy::spawn(config, command).wait_until_listening().await
     }
 
     /// Starts a second process of a proxy: the same folder for temporary files, other addresses as told.
     pub async fn start_beside(&self, config: &Value) -> Self {
         let path = write_config(&config.to_string());
-        StartingProxy::spawn_in(config, "exec \"$0\"", path, self.folder.clone()).listening().await
+        StartingProxy::spawn_in(config, "exec \"$0\"", path, self.temp_dir.clone())
+            .wait_until_listening()
+            .await
     }
 
     /// The proxy, once it holds discovery's list.
-    pub async fn wait_until_applied(discovery: &Discovery, settings: Value) -> Self {
+    pub async fn start_with_list_applied(discovery: &Discovery, settings: Value) -> Self {
         let proxy = Proxy::start(discovery, settings).await;
         discovery.wait_until_applied().await;
         proxy
@@ -108,7 +110,7 @@
     }
 
     /// Sends SIGHUP whatever the file holds, and waits until the log has a line that says what came of it.
-    pub async fn reload_as_it_is(&mut self, says: &str) {
+    pub async fn reload_without_writing(&mut self, says: &str) {
         self.signal("-HUP", says).await;
     }
 
@@ -126,7 +128,7 @@
     }
 
     /// Its process.
-    pub fn id(&self) -> u32 {
+    pub fn pid(&self) -> u32 {
         self.child.id().expect("it runs")
     }
 
@@ -139,7 +141,7 @@
         serde_json::from_slice(&text).expect("JSON")
     }
 
-    pub async fn ended(&mut self) -> ExitStatus {
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
         in_time(self.child.wait()).await.expect("it ran")
     }
 
@@ -210,7 +212,7 @@
     }
 
     /// Waits until the log has such a line, as it must before the program listens.
-    pub async fn logged(&mut self, says: &str) {
+    pub async fn wait_for_log_line(&mut self, says: &str) {
         loop {
             let line = in_time(self.log.next_line()).await.expect("readable").expect("it goes on");
             assert!(!line.contains("listening on "), "{says}: {line}");
@@ -221,12 +223,12 @@
     }
 
     /// Sends a signal.
-    pub async fn kill(&self, signal: &str) {
+    pub async fn send_signal(&self, signal: &str) {
         kill(&self.child, signal).await;
     }
 
     /// The proxy, once it listens.
-    pub async fn listening(self) -> Proxy {
+    pub async fn wait_until_listening(self) -> Proxy {
         let StartingProxy { folder, config, child, mut log } = self;
         let mut admin = None;
         let addr = loop {
@@ -238,7 +240,7 @@
                 break addr.parse().expect("an address");
             }
         };
-        Proxy { addr, admin, folder, config, child, log: Some(log) }
+        Proxy { addr, admin, temp_dir: folder, config, child, log: Some(log) }
     }
 }
 
--- a/crates/proxy/tests/support/raw_peers.rs
+++ b/crates/proxy/tests/support/raw_peers.rs
@@ -10,7 +10,7 @@
 
 impl RawConnection {
     pub async fn connect(addr: SocketAddr) -> Self {
-        RawConnection::new(connected(addr).await)
+        RawConnection::new(connect_tcp(addr).await)
     }
 
     /// A client that takes little of what it does not read.
@@ -105,11 +105,13 @@
 }
 
 /// Waits until the proxy has read all that a client has written, and has done what follows from it.
-pub async fn all_is_read(proxy: &Proxy, client: &RawConnection) {
+pub async fn wait_until_read(proxy: &Proxy, client: &RawConnection) {
     let port = client.stream.local_addr().expect("bound").port();
-    let is_unread = |row: &Row| row.local == proxy.addr.port() && row.remote == port && row.unread > 0;
+    let is_unread = |row: &TcpTableEntry| {
+        row.local_port == proxy.addr.port() && row.remote_port == port && row.unread_bytes > 0
+    };
     in_time(async {
-        while table().iter().any(is_unread) {
+        while tcp_table().iter().any(is_unread) {
             tokio::task::yield_now().await;
         }
     })
--- a/crates/proxy/tests/support/scripted_backend.rs
+++ b/crates/proxy/tests/support/scripted_backend.rs
@@ -143,16 +143,16 @@
 }
 
 /// Sends requests one after the other without a pause, and gives for each its id and its answer.
-pub async fn call_in_a_row(proxy: &Proxy, class: &str, count: usize) -> Vec<Answered> {
-    send_in_a_row(proxy, count, || request(class)).await
+pub async fn call_sequentially(proxy: &Proxy, class: &str, count: usize) -> Vec<IdentifiedResponse> {
+    send_sequentially(proxy, count, || request(class)).await
 }
 
-/// As [`call_in_a_row`], with requests as they are made for it.
-pub async fn send_in_a_row(
+/// As [`call_sequentially`], with requests as they are made for it.
+pub async fn send_sequentially(
     proxy: &Proxy,
     count: usize,
     make_request: impl Fn() -> hyper::http::request::Builder,
-) -> Vec<Answered> {
+) -> Vec<IdentifiedResponse> {
     let mut client = proxy.client().await;
     let mut answers = Vec::new();
     for _ in 0..count {
--- a/crates/proxy/tests/upgrade_limits.rs
+++ b/crates/proxy/tests/upgrade_limits.rs
@@ -36,11 +36,11 @@
         let script = Arc::new(BackendScript::default());
         script.service_time_ms.store(SERVICE_TIME_MS, SeqCst);
         let backend = Backend::start("a", &script).await;
-        let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
+        let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
         let mut config = discovery.config(settings());
         config["limits"]["sockets"] = DESCRIPTORS.into();
         config["management"] = "127.0.0.1:0".into();
-        let old = Proxy::start_as(&config, "exec \"$0\"").await;
+        let old = Proxy::start_with_command(&config, "exec \"$0\"").await;
         discovery.wait_until_applied().await;
         let clients = Vec::new();
         let mut fixture = Fixture { _backend: backend, _discovery: discovery, config, old, clients };
@@ -70,7 +70,7 @@
     /// A process beside the old one, which gets no endpoint list.
     async fn start_waiting_process(&self) -> WaitingProcess {
         let discovery = Discovery::start(Vec::new()).await;
-        discovery.set(DiscoveryBehavior::Silent).await;
+        discovery.set_behavior(DiscoveryBehavior::Silent).await;
         let mut config = discovery.config(settings());
         config["limits"]["sockets"] = DESCRIPTORS.into();
         config["management"] = "127.0.0.1:0".into();
@@ -79,7 +79,7 @@
             .env_remove("RELAY_LISTEN")
             .env("RELAY_DISCOVERY", config["discovery"].as_str().expect("text"))
             .env("RELAY_CONFIG", write_config(&config.to_string()))
-            .env("TMPDIR", &self.old.folder)
+            .env("TMPDIR", &self.old.temp_dir)
             .stderr(Stdio::null())
             .kill_on_drop(true)
             .spawn()
@@ -144,5 +144,5 @@
     fixture.wait_until_old_holds(|held| held <= DESCRIPTORS / 2).await;
     fixture.old.terminate().await;
     assert_eq!(fixture.old.call("look").await.0, 200);
-    assert!(fixture.old.ended().await.success());
+    assert!(fixture.old.wait_for_exit().await.success());
 }
