--- a/crates/proxy/tests/admin.rs
+++ b/crates/proxy/tests/admin.rs
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn a_suspended_backend_is_left_out_whatever_the_list_says() {
+async fn suspended_backend_gets_no_requests_after_list_updates() {
     let s = fixture().await;
     for _ in 0..2 {
         assert_eq!(s.proxy.call_admin("POST", "/v1/backends/a/suspend").await, 200);
@@ -80,7 +80,7 @@
 
 /// Both processes keep to what was told to either; a new one begins with it.
 #[tokio::test]
-async fn calls_at_either_of_two_processes_bind_both() {
+async fn admin_calls_apply_to_both_processes() {
     let s = fixture().await;
     assert_eq!(s.proxy.call_admin("POST", "/v1/backends/a/suspend").await, 200);
     assert_eq!(s.proxy.call_admin("POST", "/v1/proxy/drain").await, 200);
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test]
-async fn a_drain_sends_clients_away_and_ends() {
+async fn drain_closes_client_connections_until_activated() {
     let s = fixture().await;
     let (mut kept, mut idle) = (s.proxy.client().await, s.proxy.client().await);
     assert_eq!((kept.call("look").await.0, idle.call("look").await.0), (200, 200));
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn what_is_no_call_is_turned_down_and_changes_nothing() {
+async fn invalid_admin_call_is_rejected_without_effect() {
     let s = fixture().await;
     for (method, path, status) in [
         ("POST", "/v1/backends/c/suspend", 404),
@@ -165,7 +165,7 @@
 }
 
 #[tokio::test]
-async fn half_a_call_keeps_nobody_out() {
+async fn incomplete_admin_calls_do_not_block_others() {
     let s = fixture().await;
     let mut half = Vec::new();
     for _ in 0..40 {
@@ -179,7 +179,7 @@
 }
 
 #[tokio::test]
-async fn a_mark_that_fails_is_never_a_yes() {
+async fn admin_call_fails_when_its_marker_cannot_be_written() {
     let s = fixture().await;
     // What lies where the folder of markers would be can't be written to, and stops no start either.
     std::fs::remove_dir_all(s.proxy.temp_dir.join("heathroad")).expect("writable");
@@ -195,7 +195,7 @@
 }
 
 #[tokio::test]
-async fn without_an_address_there_is_no_admin_api() {
+async fn no_admin_api_without_a_configured_address() {
     let s = fixture().await;
     let proxy = Proxy::start(&s.discovery, settings()).await;
     while healthy(&proxy).await != 200 {}
@@ -206,7 +206,7 @@
 /// While two processes listen, both serve. The one that is told to stop answers all that reached it, each answer the
 /// last on its connection, and is gone; whoever connects meanwhile or later is served by the other.
 #[tokio::test]
-async fn a_process_takes_over_from_another_and_no_connection_is_lost() {
+async fn upgrade_loses_no_connection() {
     // Half of 256 descriptors would be 42 places, and the system deals out connections by chance: past them the oldest
     // at rest gives way, which is no loss of a request but is not what is looked at here.
     let mut s = scene_with(512).await;
@@ -244,7 +244,7 @@
 
 /// Whoever is on call sees which list is in force and that discovery does not answer.
 #[tokio::test]
-async fn the_admin_api_shows_the_endpoint_list_in_force_and_an_outage_of_discovery() {
+async fn admin_api_reports_list_version_and_failed_polls() {
     let s = fixture().await;
     let status = s.proxy.admin_json("/v1/discovery").await;
     assert_eq!((&status["list_version"], &status["failed_polls"]), (&1.into(), &0.into()), "{status}");
@@ -259,7 +259,7 @@
 }
 
 #[tokio::test]
-async fn a_rejected_request_is_logged_with_the_reason() {
+async fn rejected_request_is_logged_with_its_reason() {
     let mut s = fixture().await;
     s.discovery.publish(vec![s.a.endpoint("DRAINING"), s.b.endpoint("DRAINING")]).await;
     assert_eq!(s.proxy.call("look").await.0, 503);
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test]
-async fn uploads_of_every_form_arrive_as_they_are() {
+async fn uploads_of_every_framing_arrive_unchanged() {
     let s = fixture().await;
     let (small, large) = (pattern(5000), pattern(LARGE));
     let length = |data: &[u8]| format!("Content-Length: {}", data.len());
@@ -97,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn an_upload_that_is_spent_is_not_sent_again() {
+async fn only_a_buffered_upload_is_retried() {
     let s = fixture().await;
     s.script.enqueue([BackendBehavior::Decline(503)]);
     let call = request("once").body(Full::from(pattern(LARGE))).expect("well formed");
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn an_upload_that_nobody_has_begun_goes_to_another_backend() {
+async fn unsent_upload_is_retried_on_another_backend() {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
     let (_held, nobody) = bound_socket_without_listener();
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn a_broken_upload_reaches_no_backend_whole() {
+async fn malformed_upload_never_completes_at_a_backend() {
     let s = fixture().await;
     let te = "Transfer-Encoding: chunked";
     let broken = broken_chunk(&pattern(LARGE));
@@ -201,7 +201,7 @@
 }
 
 #[tokio::test]
-async fn answers_of_every_form_arrive_as_they_are() {
+async fn responses_of_every_framing_arrive_unchanged() {
     let (small, large) = (pattern(5000), pattern(LARGE));
     let ok = |headers: &str, bytes: &[u8]| {
         [format!("HTTP/1.1 200 OK\r\n{headers}\r\n").as_bytes(), bytes].concat()
@@ -229,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn a_long_response_that_breaks_off_is_never_taken_for_complete() {
+async fn truncated_response_is_never_passed_on_as_complete() {
     let large = pattern(LARGE);
     let half = |headers: &str, bytes: &[u8], close| {
         ([format!("HTTP/1.1 200 OK\r\n{headers}\r\n").as_bytes(), bytes].concat(), close)
@@ -255,7 +255,7 @@
 
 /// Clients that read nothing stop the backend, and the proxy holds little for each.
 #[tokio::test]
-async fn long_answers_take_little_memory() {
+async fn unread_responses_take_little_memory() {
     const LONG_BODY_BYTES: usize = 32 << 20;
     const CALLERS: usize = 20;
     let bytes = [
@@ -285,7 +285,7 @@
 
 /// A client that is rejected while it writes still is read on, however long that takes, and sees its answer.
 #[tokio::test]
-async fn an_upload_that_is_turned_down_is_read_to_its_end() {
+async fn rejected_upload_is_read_to_its_end() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
--- a/crates/proxy/tests/client_disconnect.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -78,7 +78,7 @@
 
 /// The end of what its client sends lies behind bytes that nobody reads yet, as an attempt fails.
 #[tokio::test]
-async fn a_retry_is_not_begun_for_a_client_that_disconnected_behind_unread_bytes() {
+async fn no_retry_for_a_disconnect_behind_unread_bytes() {
     let s = fixture().await;
     for n in 0..5 {
         let release = Arc::new(Notify::new());
@@ -105,7 +105,7 @@
 
 /// Many attempts fail and their clients leave in what is one turn to the program. It hears of the failures first.
 #[tokio::test]
-async fn no_further_attempts_are_begun_for_clients_that_leave_in_the_turn_of_a_failure() {
+async fn no_retry_for_a_disconnect_in_the_turn_of_a_failure() {
     for how in [Leave::End, Leave::Reset] {
         let s = fixture().await;
         let release: Vec<_> = (0..AT_ONCE).map(|_| Arc::new(Notify::new())).collect();
@@ -147,7 +147,7 @@
 /// A request and its client's leave are found together: on a connection that waits at the listener, on one that is
 /// open, and with two requests in one.
 #[tokio::test]
-async fn a_request_whose_client_disconnected_before_it_was_read_is_not_sent() {
+async fn request_read_after_its_client_disconnected_is_not_sent() {
     let s = fixture().await;
     let mut open = connect_tcp(s.proxy.addr).await;
     open.write_all(request_head("GET /look", "first").as_bytes()).await.expect("open");
--- a/crates/proxy/tests/connection_close.rs
+++ b/crates/proxy/tests/connection_close.rs
@@ -54,7 +54,7 @@
 
 /// Where places are short, the client that has rested longest gives way to a new one, unless it has just asked.
 #[tokio::test]
-async fn a_request_that_comes_as_its_connection_is_to_give_way_is_served() {
+async fn request_during_eviction_of_its_connection_is_served() {
     let s = fixture(|config| config["limits"]["sockets"] = 64.into()).await;
     // More connect than there are places, and each is served: those that are left rest.
     let mut clients = Vec::new();
@@ -98,7 +98,7 @@
 
 /// A burst fills the table in one turn of the accept loop and is gone again before the next: nobody has to give way.
 #[tokio::test]
-async fn idle_clients_stay_when_a_burst_has_left_before_they_have_to_give_way() {
+async fn short_burst_evicts_no_idle_client() {
     let s = fixture(|_| {}).await;
     let mut clients = Vec::new();
     for n in 0..AT_ONCE {
@@ -128,7 +128,7 @@
 
 /// Connections at rest are closed near the end of a planned stop; a request may lie there by then.
 #[tokio::test]
-async fn a_request_that_crosses_the_close_of_an_idle_connection_is_served() {
+async fn request_crossing_an_idle_close_at_stop_is_served() {
     let mut s = fixture(|config| {
         for class in config["settings"]["classes"].as_array_mut().expect("a list") {
             class["aim"] = 1800.0.into();
@@ -160,7 +160,7 @@
 
 /// Nobody knows of those that the system has taken for the proxy and that wait at its listener.
 #[tokio::test]
-async fn connections_that_wait_as_the_listener_is_closed_are_served() {
+async fn backlog_is_served_when_the_listener_closes() {
     let mut s = fixture(|_| {}).await;
     s.proxy.terminate().await;
     let told = Instant::now();
@@ -183,7 +183,7 @@
 /// An answer that its client has not taken yet lies with the system when the connection is closed. Closed over bytes
 /// that nobody has read, it would be thrown away.
 #[tokio::test]
-async fn an_answer_is_not_destroyed_by_what_its_client_has_written_beyond() {
+async fn response_survives_extra_bytes_from_its_client() {
     const LENGTH: usize = 60_000;
     let backend = canned_backend(|_| {
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {LENGTH}\r\n\r\n{}", "y".repeat(LENGTH));
@@ -211,7 +211,7 @@
 /// A client that has written more than its request and leaves is gone all the same: bytes that nobody reads yet lie
 /// before the end of its stream.
 #[tokio::test]
-async fn a_client_that_disconnects_with_bytes_unread_is_noticed() {
+async fn disconnect_behind_unread_bytes_is_detected() {
     let s = fixture(|_| {}).await;
     // What comes in one with the request, and what comes later.
     for (one, later) in [("GET /lo", ""), ("", "GET /lo"), ("", &"x".repeat(60_000))] {
@@ -234,7 +234,7 @@
 /// Whether calls may be called off concerns what was sent: a connection that comes up only once the client has left
 /// carries nothing.
 #[tokio::test]
-async fn a_request_whose_client_disconnected_before_the_connect_is_not_sent() {
+async fn disconnect_before_the_backend_connect_sends_nothing() {
     let (listener, held) = listener_with_full_backlog().await;
     let addr = listener.local_addr().expect("bound");
     let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING")]).await;
@@ -267,7 +267,7 @@
 }
 
 #[tokio::test]
-async fn a_log_whose_reader_has_gone_ends_nothing() {
+async fn closed_log_pipe_does_not_end_the_proxy() {
     let mut s = fixture(|_| {}).await;
     drop(s.proxy.log.take());
     calls_that_are_logged(&s.proxy, &s.script, 3).await;
@@ -276,7 +276,7 @@
 }
 
 #[tokio::test]
-async fn a_log_that_nobody_reads_stops_nothing_and_says_what_was_lost() {
+async fn full_log_pipe_drops_lines_and_reports_the_loss() {
     let mut s = fixture(|_| {}).await;
     // A pipe holds 64 KiB, and a line of these has some 80 bytes.
     calls_that_are_logged(&s.proxy, &s.script, 2000).await;
@@ -292,7 +292,7 @@
 /// The list at a new address may be older than what is known: a backend that was told to drain since is not sent to
 /// again. If it stays so, discovery has begun anew, and its list holds as it is.
 #[tokio::test]
-async fn an_older_list_after_a_move_brings_no_draining_backend_back() {
+async fn older_list_after_a_move_restores_no_draining_backend() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let both = |health: &str| vec![a.endpoint(health), b.endpoint("SERVING")];
@@ -311,7 +311,7 @@
 
 /// Wherever a request waits, it is not sent on once its client has left.
 #[tokio::test]
-async fn a_request_whose_client_disconnected_while_it_was_queued_is_not_sent() {
+async fn queued_request_of_a_disconnected_client_is_not_sent() {
     let upload = request_head("POST /once", "1").replace("Host: o", "Host: o\r\nContent-Length: 200000");
     let waiting = [
         // For a backend, in the balancer.
@@ -348,7 +348,7 @@
 
 /// The list is followed to the last: where discovery moves, and a backend drains, while the program stops.
 #[tokio::test]
-async fn a_new_configuration_counts_while_the_program_stops() {
+async fn new_configuration_applies_during_a_graceful_shutdown() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
--- a/crates/proxy/tests/crossing_requests.rs
+++ b/crates/proxy/tests/crossing_requests.rs
@@ -67,7 +67,7 @@
 
 /// Connections that have sent nothing give way to others.
 #[tokio::test]
-async fn a_request_that_crosses_an_eviction_is_rejected() {
+async fn first_request_crossing_an_eviction_is_rejected() {
     let fixture = Fixture::new().await;
     let mut streams = connect_many(fixture.addr(), CROSSINGS + DESCRIPTORS).await;
     // The oldest give way.
@@ -77,7 +77,7 @@
 
 /// A connection that sends nothing for too long is closed.
 #[tokio::test]
-async fn a_request_that_crosses_the_close_of_an_overdue_connection_is_rejected() {
+async fn first_request_crossing_a_timeout_is_rejected() {
     let fixture = Fixture::new().await;
     let streams = connect_many(fixture.addr(), DESCRIPTORS / 4).await;
     let count = streams.len();
@@ -86,7 +86,7 @@
 
 /// At a planned stop, connections are closed that were never used.
 #[tokio::test]
-async fn a_request_that_crosses_the_close_at_a_stop_is_rejected() {
+async fn first_request_crossing_a_stop_is_rejected() {
     let mut fixture = Fixture::new().await;
     let streams = connect_many(fixture.addr(), DESCRIPTORS / 4).await;
     let count = streams.len();
@@ -96,7 +96,7 @@
 
 /// More connections wait at the listener than can be taken when it closes, alone or beside a process that goes on.
 #[tokio::test]
-async fn requests_on_connections_that_wait_when_the_listener_closes_are_answered() {
+async fn backlog_requests_are_answered_when_the_listener_closes() {
     for is_upgrade in [false, true] {
         let fixture = Fixture::new().await;
         let next = if is_upgrade {
--- a/crates/proxy/tests/descriptor_exhaustion.rs
+++ b/crates/proxy/tests/descriptor_exhaustion.rs
@@ -213,36 +213,36 @@
 const HALF_HEAD: &str = "GET /look HTTP/1.1\r\nHost: o\r\n";
 
 #[tokio::test]
-async fn idle_clients_fill_it_while_discovery_refuses() {
+async fn full_of_idle_clients_while_discovery_refuses() {
     full_while_discovery_is_down("automatic", DiscoveryBehavior::Refusing, NO_BYTES, false).await;
     full_while_discovery_is_down("subscribe", DiscoveryBehavior::Refusing, NO_BYTES, false).await;
 }
 
 #[tokio::test]
-async fn idle_clients_fill_it_while_discovery_is_unresponsive() {
+async fn full_of_idle_clients_while_discovery_is_silent() {
     full_while_discovery_is_down("automatic", DiscoveryBehavior::Silent, NO_BYTES, false).await;
     full_while_discovery_is_down("subscribe", DiscoveryBehavior::Silent, NO_BYTES, false).await;
 }
 
 #[tokio::test]
-async fn half_open_clients_fill_it_while_discovery_refuses() {
+async fn full_of_slow_clients_while_discovery_refuses() {
     full_while_discovery_is_down("automatic", DiscoveryBehavior::Refusing, HALF_HEAD, false).await;
 }
 
 #[tokio::test]
-async fn busy_and_idle_clients_fill_it_while_discovery_refuses() {
+async fn full_of_busy_and_idle_clients_while_discovery_refuses() {
     full_while_discovery_is_down("automatic", DiscoveryBehavior::Refusing, NO_BYTES, true).await;
     full_while_discovery_is_down("subscribe", DiscoveryBehavior::Refusing, NO_BYTES, true).await;
 }
 
 #[tokio::test]
-async fn busy_and_half_open_clients_fill_it_while_discovery_is_unresponsive() {
+async fn full_of_busy_and_slow_clients_while_discovery_is_silent() {
     full_while_discovery_is_down("automatic", DiscoveryBehavior::Silent, HALF_HEAD, true).await;
 }
 
 /// Guards against taking more connections from the closing listener than there are descriptors.
 #[tokio::test]
-async fn a_stop_amid_idle_clients_leaves_a_descriptor() {
+async fn shutdown_with_idle_clients_keeps_a_descriptor_free() {
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
--- a/crates/proxy/tests/discovery_notification.rs
+++ b/crates/proxy/tests/discovery_notification.rs
@@ -75,7 +75,7 @@
 
 /// A start with discovery down, its return, and calls that fail still.
 #[tokio::test]
-async fn discovery_that_is_back_is_asked_within_the_term() {
+async fn recovered_discovery_is_polled_within_the_deadline() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let (socket, address) = bound_socket_without_listener();
@@ -104,7 +104,7 @@
 
 /// A new configuration names an address where nobody answers yet.
 #[tokio::test]
-async fn a_new_address_that_comes_up_late_is_polled_within_the_deadline() {
+async fn late_new_address_is_polled_within_the_deadline() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
@@ -127,7 +127,7 @@
 
 /// Connects to the agent neither succeed nor fail at first.
 #[tokio::test]
-async fn an_agent_that_was_unresponsive_is_polled_within_the_deadline() {
+async fn unresponsive_agent_is_polled_within_the_deadline() {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
     let (listener, _queue) = listener_with_full_backlog().await;
--- a/crates/proxy/tests/drained_tier.rs
+++ b/crates/proxy/tests/drained_tier.rs
@@ -30,7 +30,7 @@
 
 /// Guards against new work at a tier that drained while discovery was away.
 #[tokio::test]
-async fn a_tier_that_drained_while_discovery_was_away_gets_no_new_work() {
+async fn tier_drained_during_an_outage_gets_no_requests() {
     for mode in ["automatic", "subscribe"] {
         for outage in [DiscoveryBehavior::Refusing, DiscoveryBehavior::Silent] {
             let script = Arc::new(BackendScript::default());
@@ -131,7 +131,7 @@
 
 /// Guards against an outage by one list of nobody, as discovery may give it that has just started.
 #[tokio::test]
-async fn a_list_of_nobody_that_the_next_one_takes_back_rejects_no_request() {
+async fn revoked_empty_list_rejects_no_request() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let named = vec![a.endpoint("SERVING")];
@@ -148,7 +148,7 @@
 
 /// Guards against new work at a drained tier where discovery falls silent right behind the list of nobody.
 #[tokio::test]
-async fn a_list_of_nobody_is_believed_though_the_next_call_fails() {
+async fn empty_list_applies_when_the_next_poll_fails() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let proxy = proxy_after(vec![
@@ -165,7 +165,7 @@
 
 /// Guards against an outage by a discovery that lost its list: one older than the list that is held names nobody.
 #[tokio::test]
-async fn an_older_list_of_nobody_rejects_no_request() {
+async fn older_empty_list_rejects_no_request() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let proxy = proxy_after(vec![
@@ -182,7 +182,7 @@
 
 /// Guards against new work at a draining backend whose entry lacks what only a serving one needs.
 #[tokio::test]
-async fn a_drain_is_kept_though_the_rest_of_its_entry_cannot_be_used() {
+async fn drain_applies_when_the_rest_of_its_entry_is_invalid() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let with = |key: &str, value: Value| {
--- a/crates/proxy/tests/exchange_isolation.rs
+++ b/crates/proxy/tests/exchange_isolation.rs
@@ -92,7 +92,7 @@
 
 /// A copy of an earlier response comes while an upload is on its way: no backend has begun that request.
 #[tokio::test]
-async fn a_response_before_the_end_of_an_upload_does_not_serve_it() {
+async fn response_copy_during_an_upload_does_not_answer_it() {
     let s = Fixture::new(settings()).await;
     // Given: a kept connection that carries the first half of an upload.
     let (mut connection, first) = s.kept_connection().await;
@@ -111,7 +111,7 @@
 
 /// What is left of an upload that was answered early is no part of the next head.
 #[tokio::test]
-async fn a_request_behind_an_upload_that_was_answered_early_is_served_unless_closed() {
+async fn request_after_an_early_answered_upload_is_served() {
     let s = Fixture::new(settings()).await;
     // Given: an upload that the backend answers before its last byte.
     let mut client = s.client().await;
@@ -130,7 +130,7 @@
 
 /// The same where the rest comes in chunks: only the HTTP library sees where it ends.
 #[tokio::test]
-async fn a_request_behind_an_upload_in_chunks_that_was_answered_early_is_served_unless_closed() {
+async fn request_after_an_early_answered_chunked_upload_is_served() {
     let s = Fixture::new(settings()).await;
     let chunk = format!("{:x}\r\n{}\r\n", STREAMED_BYTES / 2, "u".repeat(STREAMED_BYTES / 2));
     // Given: an upload in chunks that the backend answers before its last byte.
@@ -151,7 +151,7 @@
 /// A head with a length beside its coding is rejected, also where what was left of the body before it looks like a head
 /// in order.
 #[tokio::test]
-async fn the_rest_of_an_upload_is_not_checked_in_place_of_the_head_behind_it() {
+async fn rest_of_an_upload_is_not_checked_as_the_next_head() {
     let s = Fixture::new(settings()).await;
     let rest = chunked_call("in-the-body", 0);
     let behind = call_with("POST /once", "next", "Transfer-Encoding: chunked\r\nContent-Length: 5");
@@ -172,7 +172,7 @@
 /// An upload that is rejected before any backend had some of it is read to its end: it would hold its connection for
 /// ever.
 #[tokio::test]
-async fn a_request_behind_an_upload_that_was_rejected_unsent_is_served_unless_closed() {
+async fn request_after_a_rejected_upload_is_served() {
     let mut settings = settings();
     settings["caps"]["openCap"] = 1.into();
     let s = Fixture::new(settings).await;
@@ -198,7 +198,7 @@
 
 /// The same where it waited for a backend in vain.
 #[tokio::test]
-async fn an_upload_that_waited_for_a_backend_in_vain_is_read_to_its_end() {
+async fn upload_rejected_in_the_queue_is_read_to_its_end() {
     const MAX_QUEUE_WAIT_MS: f64 = 200.0;
     let mut settings = settings();
     for class in settings["classes"].as_array_mut().expect("a list") {
@@ -214,7 +214,7 @@
 
 /// The same in chunks, behind which its connection ends: its client is to see the answer all the same.
 #[tokio::test]
-async fn an_upload_in_chunks_that_waited_for_a_backend_in_vain_is_read_to_its_end() {
+async fn chunked_upload_rejected_in_the_queue_is_read_to_its_end() {
     const MAX_QUEUE_WAIT_MS: f64 = 200.0;
     const CHUNK_BYTES: usize = 1_000_000;
     let mut settings = settings();
@@ -235,7 +235,7 @@
 
 /// The body of a request that was rejected by its head, read behind that answer, is no part of the next head.
 #[tokio::test]
-async fn a_request_behind_a_body_that_was_not_read_is_served_unless_closed() {
+async fn request_after_a_discarded_body_is_served() {
     let s = Fixture::new(settings()).await;
     // Given: a request that is rejected by its head, before all of its body is read.
     let mut client = s.client().await;
@@ -252,7 +252,7 @@
 /// Where places are short a client that rests gives way, unless it has just asked: its request may have been read in
 /// one, and be taken piece by piece.
 #[tokio::test]
-async fn a_request_in_chunks_that_comes_as_its_connection_is_to_give_way_is_served() {
+async fn chunked_request_during_eviction_is_served_once() {
     const DESCRIPTORS: usize = 64;
     const CHUNKS: usize = 500;
     let script = Arc::new(BackendScript::default());
@@ -292,7 +292,7 @@
 /// What was read in one is taken request by request: a connection that is to give way meanwhile ends with an answer that
 /// says so.
 #[tokio::test]
-async fn requests_read_together_as_their_connection_is_to_give_way_end_with_a_last_answer() {
+async fn pipelined_requests_during_eviction_get_a_last_answer() {
     const DESCRIPTORS: usize = 64;
     const PIPELINED: usize = 80;
     const HEALTH_CHECK: &str = "GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n";
@@ -334,7 +334,7 @@
 /// A connection rests from the end of its streamed response, however long the client takes for that: the
 /// backend closes it by its own clock, and what is written to it from then on may have run.
 #[tokio::test]
-async fn a_connection_rests_from_the_end_of_its_streamed_response() {
+async fn idle_time_starts_at_the_end_of_a_streamed_response() {
     const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
     const MAX_WRITE_TIME: Duration = Duration::from_millis(20);
     const SIZES: usize = 48;
@@ -384,7 +384,7 @@
 
 /// Half a head that comes together with the request before it has the time of a head, and not that of a rest.
 #[tokio::test]
-async fn half_a_head_behind_a_request_is_not_waited_for() {
+async fn incomplete_head_behind_a_request_times_out() {
     let s = Fixture::new(settings()).await;
     let mut client = s.client().await;
     let begun_at = Instant::now();
@@ -396,7 +396,7 @@
 
 /// The backend's answer to a request whose client has left, or whose time is up, is not the next request's.
 #[tokio::test]
-async fn the_response_behind_an_abandoned_request_answers_no_other() {
+async fn response_to_an_abandoned_request_answers_no_other() {
     for is_late in [false, true] {
         let s = Fixture::new(settings()).await;
         // Given: a request on a kept connection.
@@ -422,7 +422,7 @@
 
 /// What comes behind a response that ends its connection belongs to no request, be it a response or an interim one.
 #[tokio::test]
-async fn what_comes_behind_a_response_that_ends_its_connection_answers_no_other() {
+async fn bytes_after_a_closing_response_answer_no_request() {
     let interim = b"HTTP/1.1 103 X\r\n\r\n".to_vec();
     for rest in [response(200, "", "other"), response(500, "", ""), interim] {
         let s = Fixture::new(settings()).await;
@@ -438,7 +438,7 @@
 
 /// An interim response that is left over, before the next request or behind its first bytes, is no answer.
 #[tokio::test]
-async fn an_interim_response_that_is_left_over_answers_no_request() {
+async fn leftover_interim_response_answers_no_request() {
     const INTERIM: &str = "HTTP/1.1 103 X\r\nLink: </a>\r\n\r\n";
     let s = Fixture::new(settings()).await;
     // Given: a kept connection, on which an interim response comes behind the next request's bytes.
@@ -458,7 +458,7 @@
 
 /// The rest of a response that was longer than its length ends its connection, and answers nothing.
 #[tokio::test]
-async fn the_late_rest_of_a_response_longer_than_its_length_answers_no_other() {
+async fn excess_response_bytes_answer_no_request() {
     let s = Fixture::new(settings()).await;
     let (mut connection, _) = s.kept_connection().await;
     // It looks like a whole response.
@@ -469,7 +469,7 @@
 
 /// A body that its client aborts is never complete at a backend, and its connection carries nothing more.
 #[tokio::test]
-async fn a_body_that_its_client_aborts_ends_its_connection_to_the_backend() {
+async fn aborted_upload_closes_its_backend_connection() {
     let s = Fixture::new(settings()).await;
     // Given: the first half of an upload in chunks on a kept connection.
     let (mut connection, _) = s.kept_connection().await;
@@ -487,7 +487,7 @@
 
 /// Bytes behind a request whose answer is the last one on its connection are no request, however whole they look.
 #[tokio::test]
-async fn a_request_behind_an_answer_that_was_the_last_does_not_run() {
+async fn request_after_the_last_response_does_not_run() {
     let s = Fixture::new(settings()).await;
     let mut client = s.client().await;
     let last = call_with("POST /once", "last", "Connection: close");
@@ -508,7 +508,7 @@
 /// What a client pipelines is answered in its order, each with its own answer, also behind one that is rejected with a
 /// body that looks like a request.
 #[tokio::test]
-async fn pipelined_requests_behind_a_rejected_one_get_their_own_answers() {
+async fn requests_pipelined_after_a_rejection_get_own_answers() {
     let s = Fixture::new(settings()).await;
     let mut client = s.client().await;
     let hidden = request_head("POST /once", "hidden");
