--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -10,8 +10,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const LARGE: usize = 1 << 20;
-const LAST: &str = "0\r\nTrailer-Field: seen\r\n\r\n";
+const LARGE_BODY_BYTES: usize = 1 << 20;
+const LAST_CHUNK: &str = "0\r\nTrailer-Field: seen\r\n\r\n";
 
 /// Bytes that differ along the way, so that none can be left out or doubled unseen.
 fn pattern(length: usize) -> Vec<u8> {
@@ -32,30 +32,30 @@
     Fixture { script, proxy, _discovery: discovery }
 }
 
-fn head(id: &str, more: &str) -> Vec<u8> {
+fn upload_head(id: &str, headers: &str) -> Vec<u8> {
     let head = "POST /once HTTP/1.1\r\nHost: o\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n";
-    format!("{head}Req-Id: {id}\r\n{more}\r\n\r\n").into_bytes()
+    format!("{head}Req-Id: {id}\r\n{headers}\r\n\r\n").into_bytes()
 }
 
-fn chunked(data: &[u8], size: usize) -> Vec<u8> {
-    let mut text = Vec::new();
+fn chunked_body(data: &[u8], size: usize) -> Vec<u8> {
+    let mut body = Vec::new();
     for (n, chunk) in data.chunks(size).enumerate() {
         // The HTTP library takes 16 KiB of extensions in a message.
         let extension = if n < 100 { ";name=\"value\"" } else { "" };
-        text.extend(format!("{:X}{extension}\r\n", chunk.len()).bytes());
-        text.extend(chunk);
-        text.extend(b"\r\n");
+        body.extend(format!("{:X}{extension}\r\n", chunk.len()).bytes());
+        body.extend(chunk);
+        body.extend(b"\r\n");
     }
-    text.extend(LAST.bytes());
-    text
+    body.extend(LAST_CHUNK.bytes());
+    body
 }
 
 /// Chunks of which the last is none.
-fn broken_chunk(data: &[u8]) -> Vec<u8> {
-    let mut text = chunked(data, 50_000);
-    text.truncate(text.len() - LAST.len());
-    text.extend(b"zz\r\n");
-    text
+fn body_with_malformed_chunk(data: &[u8]) -> Vec<u8> {
+    let mut body = chunked_body(data, 50_000);
+    body.truncate(body.len() - LAST_CHUNK.len());
+    body.extend(b"zz\r\n");
+    body
 }
 
 /// Reads an answer and tells its status; nothing if the connection ends before. Served ones have a body of one byte.
@@ -73,52 +73,57 @@
 
 #[tokio::test]
 async fn uploads_of_every_framing_arrive_unchanged() {
-    let s = fixture().await;
-    let (small, large) = (pattern(5000), pattern(LARGE));
+    let fixture = fixture().await;
+    let (small, large) = (pattern(5000), pattern(LARGE_BODY_BYTES));
     let length = |data: &[u8]| format!("Content-Length: {}", data.len());
-    let te = "Transfer-Encoding: chunked";
+    let chunked = "Transfer-Encoding: chunked";
     let forms = [
         (length(&large), large.clone(), &large),
-        (te.to_string(), chunked(&large, 7000), &large),
-        (te.to_string(), chunked(&small, 1), &small),
-        (format!("{te}\r\nExpect: 100-continue"), chunked(&large, 100_000), &large),
+        (chunked.to_string(), chunked_body(&large, 7000), &large),
+        (chunked.to_string(), chunked_body(&small, 1), &small),
+        (format!("{chunked}\r\nExpect: 100-continue"), chunked_body(&large, 100_000), &large),
     ];
-    let mut stream = TcpStream::connect(s.proxy.addr).await.expect("it listens");
-    for (n, (more, bytes, body)) in forms.into_iter().enumerate() {
-        stream.write_all(&head(&n.to_string(), &more)).await.expect("taken");
-        if more.contains("Expect") {
+    let mut stream = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
+    for (n, (headers, bytes, body)) in forms.into_iter().enumerate() {
+        stream.write_all(&upload_head(&n.to_string(), &headers)).await.expect("taken");
+        if headers.contains("Expect") {
             assert_eq!(read_status(&mut stream).await, Some(100));
         }
         stream.write_all(&bytes).await.expect("taken");
-        assert_eq!(read_status(&mut stream).await, Some(200), "{more}");
-        s.script.wait_for_requests(n + 1).await;
-        assert!(s.script.seen.borrow()[n].2 == body, "{more}: not as it was sent");
+        assert_eq!(read_status(&mut stream).await, Some(200), "{headers}");
+        fixture.script.wait_for_requests(n + 1).await;
+        assert!(fixture.script.seen.borrow()[n].2 == body, "{headers}: not as it was sent");
     }
 }
 
 #[tokio::test]
 async fn only_a_buffered_upload_is_retried() {
-    let s = fixture().await;
-    s.script.enqueue([BackendBehavior::Decline(503)]);
-    let call = request("once").body(Full::from(pattern(LARGE))).expect("well formed");
-    assert_eq!(s.proxy.client().await.send(call).await.0, 503, "it never ran: its caller may come again");
-    assert_eq!(s.script.seen.borrow().len(), 1);
+    let fixture = fixture().await;
+    fixture.script.enqueue([BackendBehavior::Decline(503)]);
+    let call = request("once").body(Full::from(pattern(LARGE_BODY_BYTES))).expect("well formed");
+    assert_eq!(
+        fixture.proxy.client().await.send(call).await.0,
+        503,
+        "it never ran: its caller may come again"
+    );
+    assert_eq!(fixture.script.seen.borrow().len(), 1);
     // The same of a body that is kept goes to the other.
-    s.script.enqueue([BackendBehavior::Decline(503)]);
+    fixture.script.enqueue([BackendBehavior::Decline(503)]);
     let call = request("once").body(Full::from(pattern(64 * 1024))).expect("well formed");
-    assert_eq!(s.proxy.client().await.send(call).await.0, 200);
-    assert_eq!(s.script.seen.borrow().len(), 3);
+    assert_eq!(fixture.proxy.client().await.send(call).await.0, 200);
+    assert_eq!(fixture.script.seen.borrow().len(), 3);
 }
 
 #[tokio::test]
 async fn unsent_upload_is_retried_on_another_backend() {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
-    let (_held, nobody) = bound_socket_without_listener();
-    let discovery = Discovery::start(vec![endpoint("a", nobody, "SERVING"), b.endpoint("SERVING")]).await;
+    let (_held, refusing_addr) = bound_socket_without_listener();
+    let discovery =
+        Discovery::start(vec![endpoint("a", refusing_addr, "SERVING"), b.endpoint("SERVING")]).await;
     let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     for n in 1..=8 {
-        let call = request("once").body(Full::from(pattern(LARGE))).expect("well formed");
+        let call = request("once").body(Full::from(pattern(LARGE_BODY_BYTES))).expect("well formed");
         assert_eq!(proxy.client().await.send(call).await, (200, "b".into()));
         assert_eq!(script.seen.borrow().len(), n);
         // A kept connection that was closed meanwhile takes nothing of the next one away.
@@ -128,33 +133,33 @@
 
 #[tokio::test]
 async fn malformed_upload_never_completes_at_a_backend() {
-    let s = fixture().await;
-    let te = "Transfer-Encoding: chunked";
-    let broken = broken_chunk(&pattern(LARGE));
+    let fixture = fixture().await;
+    let chunked = "Transfer-Encoding: chunked";
+    let broken = body_with_malformed_chunk(&pattern(LARGE_BODY_BYTES));
     let short = b"4\r\ngood\r\nzz\r\n".to_vec();
     for (n, bytes) in [broken, short].into_iter().enumerate() {
-        let mut stream = TcpStream::connect(s.proxy.addr).await.expect("it listens");
-        stream.write_all(&head(&n.to_string(), te)).await.expect("taken");
+        let mut stream = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
+        stream.write_all(&upload_head(&n.to_string(), chunked)).await.expect("taken");
         // It may be rejected before it is written.
         let _ = stream.write_all(&bytes).await;
         let status = read_status(&mut stream).await;
         assert!(status.is_none_or(|s| s == 400), "{status:?}");
     }
     // One that stops half-way is told so, and one whose client leaves is forgotten.
-    let mut stops = TcpStream::connect(s.proxy.addr).await.expect("it listens");
-    stops.write_all(&head("stops", "Content-Length: 1000000")).await.expect("taken");
-    stops.write_all(&pattern(100_000)).await.expect("taken");
-    let mut leaves = TcpStream::connect(s.proxy.addr).await.expect("it listens");
-    leaves.write_all(&head("leaves", "Content-Length: 1000000")).await.expect("taken");
-    leaves.write_all(&pattern(100_000)).await.expect("taken");
-    drop(leaves);
-    assert_eq!(read_status(&mut stops).await, Some(408));
-    assert_eq!(s.script.seen.borrow().len(), 0);
-    assert_eq!(s.proxy.call("once").await.0, 200);
+    let mut stalling = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
+    stalling.write_all(&upload_head("stops", "Content-Length: 1000000")).await.expect("taken");
+    stalling.write_all(&pattern(100_000)).await.expect("taken");
+    let mut leaving = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
+    leaving.write_all(&upload_head("leaves", "Content-Length: 1000000")).await.expect("taken");
+    leaving.write_all(&pattern(100_000)).await.expect("taken");
+    drop(leaving);
+    assert_eq!(read_status(&mut stalling).await, Some(408));
+    assert_eq!(fixture.script.seen.borrow().len(), 0);
+    assert_eq!(fixture.proxy.call("once").await.0, 200);
 }
 
 /// A backend that answers its n-th connection with the n-th bytes, and closes it where that is told.
-async fn answering(answers: Vec<(Vec<u8>, bool)>) -> (SocketAddr, Arc<AtomicUsize>) {
+async fn start_answering_backend(answers: Vec<(Vec<u8>, bool)>) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
     let (written, count) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
@@ -187,7 +192,7 @@
     (addr, written)
 }
 
-async fn before(addr: SocketAddr) -> (Proxy, Discovery) {
+async fn proxy_for(addr: SocketAddr) -> (Proxy, Discovery) {
     let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING")]).await;
     (Proxy::start_with_list_applied(&discovery, settings()).await, discovery)
 }
@@ -202,52 +207,53 @@
 
 #[tokio::test]
 async fn responses_of_every_framing_arrive_unchanged() {
-    let (small, large) = (pattern(5000), pattern(LARGE));
+    let (small, large) = (pattern(5000), pattern(LARGE_BODY_BYTES));
     let ok = |headers: &str, bytes: &[u8]| {
         [format!("HTTP/1.1 200 OK\r\n{headers}\r\n").as_bytes(), bytes].concat()
     };
-    let te = "Transfer-Encoding: chunked\r\n";
+    let chunked = "Transfer-Encoding: chunked\r\n";
     let mut forms = Vec::new();
     for body in [&small, &large] {
         let length = format!("Content-Length: {}\r\n", body.len());
         let interim = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n".to_vec();
         forms.push((ok(&length, body), false, body));
-        forms.push((ok(te, &chunked(body, 900)), false, body));
-        forms.push(([interim, ok(te, &chunked(body, body.len()))].concat(), false, body));
+        forms.push((ok(chunked, &chunked_body(body, 900)), false, body));
+        forms.push(([interim, ok(chunked, &chunked_body(body, body.len()))].concat(), false, body));
         forms.push((ok(&format!("Connection: close\r\n{length}"), body), true, body));
         forms.push((ok("Connection: close\r\n", body), true, body));
         forms.push((ok("", body), true, body));
     }
-    forms.push((ok(te, &chunked(&small, 1)), false, &small));
+    forms.push((ok(chunked, &chunked_body(&small, 1)), false, &small));
     let answers = forms.iter().map(|(bytes, close, _)| (bytes.clone(), *close)).collect();
-    let (addr, _) = answering(answers).await;
-    let (proxy, _discovery) = before(addr).await;
+    let (addr, _) = start_answering_backend(answers).await;
+    let (proxy, _discovery) = proxy_for(addr).await;
     for (n, (_, _, body)) in forms.iter().enumerate() {
-        let (status, got) = fetch(&proxy).await.expect("a whole answer");
-        assert!(status == 200 && got == **body, "form {n}: {status}, {} bytes", got.len());
+        let (status, received) = fetch(&proxy).await.expect("a whole answer");
+        assert!(status == 200 && received == **body, "form {n}: {status}, {} bytes", received.len());
     }
 }
 
 #[tokio::test]
 async fn truncated_response_is_never_passed_on_as_complete() {
-    let large = pattern(LARGE);
-    let half = |headers: &str, bytes: &[u8], close| {
+    let large = pattern(LARGE_BODY_BYTES);
+    let truncated = |headers: &str, bytes: &[u8], close| {
         ([format!("HTTP/1.1 200 OK\r\n{headers}\r\n").as_bytes(), bytes].concat(), close)
     };
-    let mut chunks = chunked(&large, 50_000);
-    chunks.truncate(LARGE / 2);
-    let (length, te) = (format!("Content-Length: {LARGE}\r\n"), "Transfer-Encoding: chunked\r\n");
-    let broken = broken_chunk(&large[..LARGE / 2]);
+    let mut chunks = chunked_body(&large, 50_000);
+    chunks.truncate(LARGE_BODY_BYTES / 2);
+    let (length, chunked) =
+        (format!("Content-Length: {LARGE_BODY_BYTES}\r\n"), "Transfer-Encoding: chunked\r\n");
+    let broken = body_with_malformed_chunk(&large[..LARGE_BODY_BYTES / 2]);
     let answers = vec![
-        half(&length, &large[..LARGE / 2], true),
-        half(te, &chunks, true),
-        half(te, &broken, false),
+        truncated(&length, &large[..LARGE_BODY_BYTES / 2], true),
+        truncated(chunked, &chunks, true),
+        truncated(chunked, &broken, false),
         // Longer than it says: its end would be missing.
-        half(&format!("Content-Length: {}\r\n", LARGE - 9), &large, false),
+        truncated(&format!("Content-Length: {}\r\n", LARGE_BODY_BYTES - 9), &large, false),
     ];
     let count = answers.len();
-    let (addr, _) = answering(answers).await;
-    let (proxy, _discovery) = before(addr).await;
+    let (addr, _) = start_answering_backend(answers).await;
+    let (proxy, _discovery) = proxy_for(addr).await;
     for n in 0..count {
         assert!(fetch(&proxy).await.is_err(), "answer {n} looks whole");
     }
@@ -257,15 +263,15 @@
 #[tokio::test]
 async fn unread_responses_take_little_memory() {
     const LONG_BODY_BYTES: usize = 32 << 20;
-    const CALLERS: usize = 20;
+    const CLIENTS: usize = 20;
     let bytes = [
         format!("HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n").into_bytes(),
         pattern(LONG_BODY_BYTES),
     ];
-    let (addr, written) = answering(vec![(bytes.concat(), false)]).await;
-    let (proxy, _discovery) = before(addr).await;
+    let (addr, written) = start_answering_backend(vec![(bytes.concat(), false)]).await;
+    let (proxy, _discovery) = proxy_for(addr).await;
     let mut answers = Vec::new();
-    for _ in 0..CALLERS {
+    for _ in 0..CLIENTS {
         let call = request("look").body(Full::<bytes::Bytes>::default()).expect("well formed");
         let mut client = connect(proxy.addr).await;
         answers.push((in_time(client.send_request(call)).await.expect("an answer"), client));
@@ -276,10 +282,10 @@
         before = written.load(SeqCst);
         tokio::time::sleep(std::time::Duration::from_millis(200)).await;
     }
-    assert!(before < CALLERS * LONG_BODY_BYTES, "all was taken in though nobody reads");
-    assert!(proxy.resident_mb() < 24, "{} MB for {CALLERS} answers", proxy.resident_mb());
+    assert!(before < CLIENTS * LONG_BODY_BYTES, "all was taken in though nobody reads");
+    assert!(proxy.resident_mb() < 24, "{} MB for {CLIENTS} answers", proxy.resident_mb());
     // Whoever reads again gets all.
-    let (answer, _caller) = answers.swap_remove(0);
+    let (answer, _client) = answers.swap_remove(0);
     assert_eq!(in_time(answer.into_body().collect()).await.expect("whole").to_bytes().len(), LONG_BODY_BYTES);
 }
 
@@ -292,18 +298,18 @@
     let mut settings = settings();
     settings["caps"]["openCap"] = 1.into();
     let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
-    let hold = Arc::new(tokio::sync::Notify::new());
-    script.enqueue([BackendBehavior::Hold(hold.clone())]);
+    let release = Arc::new(tokio::sync::Notify::new());
+    script.enqueue([BackendBehavior::Hold(release.clone())]);
     let mut client = proxy.client().await;
-    let held = tokio::spawn(async move { client.call("once").await });
+    let held_call = tokio::spawn(async move { client.call("once").await });
     script.wait_for_requests(1).await;
     let mut stream = TcpStream::connect(proxy.addr).await.expect("it listens");
-    stream.write_all(&head("slow", "Content-Length: 1000000")).await.expect("taken");
+    stream.write_all(&upload_head("slow", "Content-Length: 1000000")).await.expect("taken");
     for _ in 0..10 {
         stream.write_all(&pattern(100_000)).await.expect("it is read on");
         tokio::time::sleep(std::time::Duration::from_millis(400)).await;
     }
     assert_eq!(read_status(&mut stream).await, Some(503));
-    hold.notify_one();
-    assert_eq!(held.await.expect("no panic").0, 200);
+    release.notify_one();
+    assert_eq!(held_call.await.expect("no panic").0, 200);
 }
--- a/crates/proxy/tests/connection_close.rs
+++ b/crates/proxy/tests/connection_close.rs
@@ -13,14 +13,14 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// So many requests at once are surely let through by a limit that has learned nothing yet.
-const AT_ONCE: usize = 7;
+const CONCURRENT_REQUESTS: usize = 7;
 /// Connections that wait in the system's queue together: fewer than it has places, and several times the table.
 const BURST_CONNECTIONS: usize = 1000;
 /// Which of two things that are ready the accept loop does first is left to chance.
 const BURSTS: usize = 10;
 /// How often in a burst the program is held up, and for how long: longer than it waits before it forces somebody out.
-const HOLD_UPS: usize = 20;
-const HOLD_UP: Duration = Duration::from_millis(10);
+const STEPS_PER_BURST: usize = 20;
+const STEP_PAUSE: Duration = Duration::from_millis(10);
 
 struct Fixture {
     script: Arc<BackendScript>,
@@ -41,7 +41,7 @@
 }
 
 /// Reads the answer to a call whose body is the backend's name.
-async fn served(stream: &mut TcpStream) -> bool {
+async fn is_served(stream: &mut TcpStream) -> bool {
     let mut answer = Vec::new();
     while !answer.ends_with(b"\r\n\r\na") {
         match in_time(stream.read_buf(&mut answer)).await {
@@ -55,73 +55,73 @@
 /// Where places are short, the client that has rested longest gives way to a new one, unless it has just asked.
 #[tokio::test]
 async fn request_during_eviction_of_its_connection_is_served() {
-    let s = fixture(|config| config["limits"]["sockets"] = 64.into()).await;
+    let fixture = fixture(|config| config["limits"]["sockets"] = 64.into()).await;
     // More connect than there are places, and each is served: those that are left rest.
     let mut clients = Vec::new();
     for n in 0..40 {
-        let mut client = connect_tcp(s.proxy.addr).await;
+        let mut client = connect_tcp(fixture.proxy.addr).await;
         client.write_all(request_head("GET /look", &n.to_string()).as_bytes()).await.expect("open");
-        assert!(served(&mut client).await, "{n}");
+        assert!(is_served(&mut client).await, "{n}");
         clients.push(client);
     }
     // Those that had to give way are closed by now.
-    let mut resting = Vec::new();
+    let mut idle = Vec::new();
     for client in clients {
         if client.try_read(&mut [0]).is_err() {
-            resting.push(client);
+            idle.push(client);
         }
     }
-    let (late, _others) = resting.split_at_mut(AT_ONCE);
-    s.proxy.pause().await;
-    let mut new = Vec::new();
-    for _ in 0..AT_ONCE {
-        new.push(connect_tcp(s.proxy.addr).await);
+    let (late, _others) = idle.split_at_mut(CONCURRENT_REQUESTS);
+    fixture.proxy.pause().await;
+    let mut new_clients = Vec::new();
+    for _ in 0..CONCURRENT_REQUESTS {
+        new_clients.push(connect_tcp(fixture.proxy.addr).await);
     }
     for (n, client) in late.iter_mut().enumerate() {
         client.write_all(request_head("POST /once", &format!("late-{n}")).as_bytes()).await.expect("open");
     }
-    s.proxy.resume_process().await;
+    fixture.proxy.resume_process().await;
     for (n, client) in late.iter_mut().enumerate() {
-        assert!(served(client).await, "{n}");
+        assert!(is_served(client).await, "{n}");
     }
-    assert_eq!(s.script.requests_at("a"), 40 + AT_ONCE, "each runs once");
+    assert_eq!(fixture.script.requests_at("a"), 40 + CONCURRENT_REQUESTS, "each runs once");
 }
 
 /// Lets a paused program go on a little at a time.
-async fn hold_up(proxy: &Proxy) {
-    for _ in 0..HOLD_UPS {
+async fn resume_in_steps(proxy: &Proxy) {
+    for _ in 0..STEPS_PER_BURST {
         proxy.resume_process().await;
         proxy.pause().await;
-        sleep(HOLD_UP).await;
+        sleep(STEP_PAUSE).await;
     }
 }
 
 /// A burst fills the table in one turn of the accept loop and is gone again before the next: nobody has to give way.
 #[tokio::test]
 async fn short_burst_evicts_no_idle_client() {
-    let s = fixture(|_| {}).await;
+    let fixture = fixture(|_| {}).await;
     let mut clients = Vec::new();
-    for n in 0..AT_ONCE {
-        let mut client = connect_tcp(s.proxy.addr).await;
+    for n in 0..CONCURRENT_REQUESTS {
+        let mut client = connect_tcp(fixture.proxy.addr).await;
         client.write_all(request_head("GET /look", &n.to_string()).as_bytes()).await.expect("open");
-        assert!(served(&mut client).await, "{n}");
+        assert!(is_served(&mut client).await, "{n}");
         clients.push(client);
     }
     for burst in 0..BURSTS {
-        s.proxy.pause().await;
+        fixture.proxy.pause().await;
         for _ in 0..BURST_CONNECTIONS {
-            drop(connect_tcp(s.proxy.addr).await);
+            drop(connect_tcp(fixture.proxy.addr).await);
         }
-        hold_up(&s.proxy).await;
-        s.proxy.resume_process().await;
+        resume_in_steps(&fixture.proxy).await;
+        fixture.proxy.resume_process().await;
         // It waits behind the burst.
-        assert_eq!(s.proxy.call("look").await, (200, "a".into()));
+        assert_eq!(fixture.proxy.call("look").await, (200, "a".into()));
         for (n, client) in clients.iter_mut().enumerate() {
             client
                 .write_all(request_head("GET /look", &format!("{burst}-{n}")).as_bytes())
                 .await
                 .expect("open");
-            assert!(served(client).await, "client {n} after burst {burst}");
+            assert!(is_served(client).await, "client {n} after burst {burst}");
         }
     }
 }
@@ -129,55 +129,55 @@
 /// Connections at rest are closed near the end of a planned stop; a request may lie there by then.
 #[tokio::test]
 async fn request_crossing_an_idle_close_at_stop_is_served() {
-    let mut s = fixture(|config| {
+    let mut fixture = fixture(|config| {
         for class in config["settings"]["classes"].as_array_mut().expect("a list") {
             class["aim"] = 1800.0.into();
         }
     })
     .await;
     let mut clients = Vec::new();
-    for n in 0..AT_ONCE {
-        let mut client = connect_tcp(s.proxy.addr).await;
+    for n in 0..CONCURRENT_REQUESTS {
+        let mut client = connect_tcp(fixture.proxy.addr).await;
         client.write_all(request_head("GET /look", &n.to_string()).as_bytes()).await.expect("open");
-        assert!(served(&mut client).await);
+        assert!(is_served(&mut client).await);
         clients.push(client);
     }
-    s.proxy.terminate().await;
-    let told = Instant::now();
-    wait_until_listener_closed(s.proxy.addr).await;
-    s.proxy.pause().await;
+    fixture.proxy.terminate().await;
+    let terminated_at = Instant::now();
+    wait_until_listener_closed(fixture.proxy.addr).await;
+    fixture.proxy.pause().await;
     for (n, client) in clients.iter_mut().enumerate() {
         client.write_all(request_head("POST /once", &format!("late-{n}")).as_bytes()).await.expect("open");
     }
     // By these settings such connections are closed 1.5 s after the signal.
-    sleep_until(told + Duration::from_millis(1600)).await;
-    s.proxy.resume_process().await;
+    sleep_until(terminated_at + Duration::from_millis(1600)).await;
+    fixture.proxy.resume_process().await;
     for (n, client) in clients.iter_mut().enumerate() {
-        assert!(served(client).await, "{n}");
+        assert!(is_served(client).await, "{n}");
     }
-    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
+    assert_eq!(fixture.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 /// Nobody knows of those that the system has taken for the proxy and that wait at its listener.
 #[tokio::test]
 async fn backlog_is_served_when_the_listener_closes() {
-    let mut s = fixture(|_| {}).await;
-    s.proxy.terminate().await;
-    let told = Instant::now();
-    s.proxy.pause().await;
+    let mut fixture = fixture(|_| {}).await;
+    fixture.proxy.terminate().await;
+    let terminated_at = Instant::now();
+    fixture.proxy.pause().await;
     let mut clients = Vec::new();
-    for n in 0..AT_ONCE {
-        let mut client = connect_tcp(s.proxy.addr).await;
+    for n in 0..CONCURRENT_REQUESTS {
+        let mut client = connect_tcp(fixture.proxy.addr).await;
         client.write_all(request_head("POST /once", &n.to_string()).as_bytes()).await.expect("open");
         clients.push(client);
     }
     // The listener is closed 0.5 s after the signal.
-    sleep_until(told + Duration::from_millis(700)).await;
-    s.proxy.resume_process().await;
+    sleep_until(terminated_at + Duration::from_millis(700)).await;
+    fixture.proxy.resume_process().await;
     for (n, client) in clients.iter_mut().enumerate() {
-        assert!(served(client).await, "{n}");
+        assert!(is_served(client).await, "{n}");
     }
-    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
+    assert_eq!(fixture.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 /// An answer that its client has not taken yet lies with the system when the connection is closed. Closed over bytes
@@ -212,22 +212,26 @@
 /// before the end of its stream.
 #[tokio::test]
 async fn disconnect_behind_unread_bytes_is_detected() {
-    let s = fixture(|_| {}).await;
+    let fixture = fixture(|_| {}).await;
     // What comes in one with the request, and what comes later.
-    for (one, later) in [("GET /lo", ""), ("", "GET /lo"), ("", &"x".repeat(60_000))] {
-        let before = *s.script.abandoned.borrow();
-        let wait_for_requests = s.script.seen.borrow().len();
-        s.script.enqueue([BackendBehavior::Hold(Arc::new(Notify::new()))]);
-        let mut client = connect_tcp(s.proxy.addr).await;
-        let text = request_head("GET /look", "1") + one;
+    for (pipelined, later) in [("GET /lo", ""), ("", "GET /lo"), ("", &"x".repeat(60_000))] {
+        let abandoned_before = *fixture.script.abandoned.borrow();
+        let requests_before = fixture.script.seen.borrow().len();
+        fixture.script.enqueue([BackendBehavior::Hold(Arc::new(Notify::new()))]);
+        let mut client = connect_tcp(fixture.proxy.addr).await;
+        let text = request_head("GET /look", "1") + pipelined;
         client.write_all(text.as_bytes()).await.expect("open");
-        s.script.wait_for_requests(wait_for_requests + 1).await;
+        fixture.script.wait_for_requests(requests_before + 1).await;
         client.write_all(later.as_bytes()).await.expect("open");
         client.shutdown().await.expect("open");
-        in_time(s.script.abandoned.subscribe().wait_for(|left| *left == before + 1)).await.expect("open");
+        in_time(
+            fixture.script.abandoned.subscribe().wait_for(|abandoned| *abandoned == abandoned_before + 1),
+        )
+        .await
+        .expect("open");
         // Its connection is closed, too, and what it wrote is no request.
         assert_eq!(read_status(&mut client).await, None);
-        assert_eq!(s.script.seen.borrow().len(), wait_for_requests + 1);
+        assert_eq!(fixture.script.seen.borrow().len(), requests_before + 1);
     }
 }
 
@@ -235,20 +239,20 @@
 /// carries nothing.
 #[tokio::test]
 async fn disconnect_before_the_backend_connect_sends_nothing() {
-    let (listener, held) = listener_with_full_backlog().await;
+    let (listener, backlog) = listener_with_full_backlog().await;
     let addr = listener.local_addr().expect("bound");
     let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING")]).await;
-    let mut slow = settings();
-    slow["caps"]["cancelling"] = false.into();
-    slow["caps"]["connectTimeout"] = 20_000.0.into();
-    let proxy = Proxy::start_with_list_applied(&discovery, slow).await;
+    let mut settings = settings();
+    settings["caps"]["cancelling"] = false.into();
+    settings["caps"]["connectTimeout"] = 20_000.0.into();
+    let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
     let mut client = connect_tcp(proxy.addr).await;
     client.write_all(request_head("POST /once", "1").as_bytes()).await.expect("open");
     in_time(wait_for_connect_attempt(addr)).await;
     client.shutdown().await.expect("open");
     assert_eq!(read_status(&mut client).await, None, "the proxy knows that it left");
     // Only now does the queue get room, and the connection comes up when the system next tries.
-    for _ in &held {
+    for _ in &backlog {
         drop(in_time(listener.accept()).await.expect("queued"));
     }
     let (mut late, _) = in_time(listener.accept()).await.expect("the proxy's");
@@ -258,8 +262,8 @@
 }
 
 /// Each call here is refused or failed, which the log tells with a line.
-async fn calls_that_are_logged(proxy: &Proxy, script: &Arc<BackendScript>, calls: usize) {
-    for _ in 0..calls {
+async fn make_logged_failures(proxy: &Proxy, script: &Arc<BackendScript>, count: usize) {
+    for _ in 0..count {
         script.enqueue([BackendBehavior::Answer(500)]);
         assert_eq!(proxy.call("once").await.0, 502);
     }
@@ -268,24 +272,24 @@
 
 #[tokio::test]
 async fn closed_log_pipe_does_not_end_the_proxy() {
-    let mut s = fixture(|_| {}).await;
-    drop(s.proxy.log.take());
-    calls_that_are_logged(&s.proxy, &s.script, 3).await;
-    s.proxy.terminate_without_log().await;
-    assert_eq!(s.proxy.wait_for_exit().await.code(), Some(0));
+    let mut fixture = fixture(|_| {}).await;
+    drop(fixture.proxy.log.take());
+    make_logged_failures(&fixture.proxy, &fixture.script, 3).await;
+    fixture.proxy.terminate_without_log().await;
+    assert_eq!(fixture.proxy.wait_for_exit().await.code(), Some(0));
 }
 
 #[tokio::test]
 async fn full_log_pipe_drops_lines_and_reports_the_loss() {
-    let mut s = fixture(|_| {}).await;
+    let mut fixture = fixture(|_| {}).await;
     // A pipe holds 64 KiB, and a line of these has some 80 bytes.
-    calls_that_are_logged(&s.proxy, &s.script, 2000).await;
-    let mut log = s.proxy.log.take().expect("held");
+    make_logged_failures(&fixture.proxy, &fixture.script, 2000).await;
+    let mut log = fixture.proxy.log.take().expect("held");
     // There is room again once a part of it has been read.
     for _ in 0..500 {
         in_time(log.next_line()).await.expect("readable");
     }
-    calls_that_are_logged(&s.proxy, &s.script, 1).await;
+    make_logged_failures(&fixture.proxy, &fixture.script, 1).await;
     while !in_time(log.next_line()).await.expect("readable").expect("it goes on").contains("were lost") {}
 }
 
@@ -295,12 +299,12 @@
 async fn older_list_after_a_move_restores_no_draining_backend() {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let both = |health: &str| vec![a.endpoint(health), b.endpoint("SERVING")];
-    let discovery = Discovery::start(both("SERVING")).await;
+    let endpoints = |health: &str| vec![a.endpoint(health), b.endpoint("SERVING")];
+    let discovery = Discovery::start(endpoints("SERVING")).await;
     let mut proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
-    discovery.publish(both("SERVING")).await;
-    discovery.publish(both("DRAINING")).await;
-    let older = Discovery::start(both("SERVING")).await;
+    discovery.publish(endpoints("SERVING")).await;
+    discovery.publish(endpoints("DRAINING")).await;
+    let older = Discovery::start(endpoints("SERVING")).await;
     proxy.reload(&older.config(settings()).to_string(), "configuration applied").await;
     older.wait_until_applied().await;
     for _ in 0..20 {
@@ -313,7 +317,7 @@
 #[tokio::test]
 async fn queued_request_of_a_disconnected_client_is_not_sent() {
     let upload = request_head("POST /once", "1").replace("Host: o", "Host: o\r\nContent-Length: 200000");
-    let waiting = [
+    let texts = [
         // For a backend, in the balancer.
         request_head("POST /once", "1"),
         // The same behind another, which is of no more use.
@@ -323,7 +327,7 @@
         // And with one that is kept.
         upload.replace("200000", "20000") + "x",
     ];
-    for text in waiting {
+    for text in texts {
         let script = Arc::new(BackendScript::default());
         let a = Backend::start("a", &script).await;
         let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
@@ -338,8 +342,8 @@
             assert_eq!(read_status(&mut other).await, Some(503));
         }
         client.shutdown().await.expect("open");
-        let left = read_status(&mut client).await;
-        assert!(matches!(left, None | Some(400)), "{left:?}");
+        let status = read_status(&mut client).await;
+        assert!(matches!(status, None | Some(400)), "{status:?}");
         discovery.publish(vec![a.endpoint("SERVING")]).await;
         assert_eq!(proxy.call("look").await, (200, "a".into()));
         assert_eq!(script.seen.borrow().len(), 1);
@@ -352,16 +356,16 @@
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
-    let mut brisk = settings();
-    for class in brisk["classes"].as_array_mut().expect("a list") {
+    let mut settings = settings();
+    for class in settings["classes"].as_array_mut().expect("a list") {
         class["aim"] = 500.0.into();
     }
-    let mut proxy = Proxy::start_with_list_applied(&discovery, brisk.clone()).await;
+    let mut proxy = Proxy::start_with_list_applied(&discovery, settings.clone()).await;
     let mut client = proxy.client().await;
     assert_eq!(client.call("look").await, (200, "a".into()));
     let other = Discovery::start(vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]).await;
     proxy.terminate().await;
-    proxy.reload(&other.config(brisk).to_string(), "configuration applied").await;
+    proxy.reload(&other.config(settings).to_string(), "configuration applied").await;
     other.wait_until_applied().await;
     assert_eq!(client.call("look").await, (200, "b".into()));
     drop(client);
--- a/crates/proxy/tests/crossing_requests.rs
+++ b/crates/proxy/tests/crossing_requests.rs
@@ -42,17 +42,17 @@
 
 /// Sends a first request only once the proxy has decided on the connection's end: what it wrote, or the close, can be
 /// read.
-async fn cross_close(mut stream: TcpStream, number: usize) -> Option<u16> {
+async fn send_after_close_decision(mut stream: TcpStream, number: usize) -> Option<u16> {
     in_time(stream.readable()).await.expect("open");
     // The other side may have closed its socket altogether.
     let _ = stream.write_all(request_head("GET /look", &format!("{number:016x}")).as_bytes()).await;
     read_status(&mut stream).await
 }
 
-async fn cross_closes(streams: Vec<TcpStream>) -> Vec<Option<u16>> {
+async fn send_all_after_close_decision(streams: Vec<TcpStream>) -> Vec<Option<u16>> {
     let mut crossings = JoinSet::new();
     for (number, stream) in streams.into_iter().enumerate() {
-        crossings.spawn(cross_close(stream, number));
+        crossings.spawn(send_after_close_decision(stream, number));
     }
     crossings.join_all().await
 }
@@ -72,7 +72,7 @@
     let mut streams = connect_many(fixture.addr(), CROSSINGS + DESCRIPTORS).await;
     // The oldest give way.
     streams.truncate(CROSSINGS);
-    assert_eq!(cross_closes(streams).await, vec![Some(503); CROSSINGS]);
+    assert_eq!(send_all_after_close_decision(streams).await, vec![Some(503); CROSSINGS]);
 }
 
 /// A connection that sends nothing for too long is closed.
@@ -81,7 +81,7 @@
     let fixture = Fixture::new().await;
     let streams = connect_many(fixture.addr(), DESCRIPTORS / 4).await;
     let count = streams.len();
-    assert_eq!(cross_closes(streams).await, vec![Some(503); count]);
+    assert_eq!(send_all_after_close_decision(streams).await, vec![Some(503); count]);
 }
 
 /// At a planned stop, connections are closed that were never used.
@@ -91,7 +91,7 @@
     let streams = connect_many(fixture.addr(), DESCRIPTORS / 4).await;
     let count = streams.len();
     fixture.proxy.terminate().await;
-    assert_eq!(cross_closes(streams).await, vec![Some(503); count]);
+    assert_eq!(send_all_after_close_decision(streams).await, vec![Some(503); count]);
 }
 
 /// More connections wait at the listener than can be taken when it closes, alone or beside a process that goes on.
@@ -110,7 +110,7 @@
         let streams = connect_many(fixture.addr(), CROSSINGS).await;
         fixture.proxy.terminate_without_log().await;
         fixture.proxy.resume_process().await;
-        let answers = cross_closes(streams).await;
+        let answers = send_all_after_close_decision(streams).await;
         assert_eq!(answers, vec![Some(503); CROSSINGS], "in an upgrade: {is_upgrade}");
         drop(next);
     }
--- a/crates/proxy/tests/descriptor_exhaustion.rs
+++ b/crates/proxy/tests/descriptor_exhaustion.rs
@@ -23,42 +23,42 @@
 const DRAIN_DEADLINE: Duration = Duration::from_millis(500);
 
 /// Clients without a whole request, who come again at once when they are shut out.
-struct Crowd {
+struct ReconnectingClients {
     _tasks: JoinSet<()>,
     /// How often one of them was shut out.
-    shut_out: Arc<watch::Sender<usize>>,
+    disconnects: Arc<watch::Sender<usize>>,
 }
 
-impl Crowd {
+impl ReconnectingClients {
     fn start(addr: SocketAddr, first_bytes: &'static str) -> Self {
-        let (mut tasks, shut_out) = (JoinSet::new(), Arc::new(watch::Sender::new(0)));
+        let (mut tasks, disconnects) = (JoinSet::new(), Arc::new(watch::Sender::new(0)));
         for _ in 0..DESCRIPTORS {
-            let shut_out = shut_out.clone();
+            let disconnects = disconnects.clone();
             tasks.spawn(async move {
                 loop {
                     if let Ok(mut stream) = TcpStream::connect(addr).await {
                         let _ = stream.write_all(first_bytes.as_bytes()).await;
                         // Shut or reset, or answered that it was too slow.
                         let _ = stream.read_to_end(&mut Vec::new()).await;
-                        shut_out.send_modify(|count| *count += 1);
+                        disconnects.send_modify(|count| *count += 1);
                     }
                     tokio::task::yield_now().await;
                 }
             });
         }
-        Crowd { _tasks: tasks, shut_out }
+        ReconnectingClients { _tasks: tasks, disconnects }
     }
 
     /// Waits until so many more were shut out.
-    async fn wait_until_shut_out(&self, times: usize) {
-        let before = *self.shut_out.borrow();
-        in_time(self.shut_out.subscribe().wait_for(|n| *n >= before + times)).await.expect("open");
+    async fn wait_for_disconnects(&self, times: usize) {
+        let before = *self.disconnects.borrow();
+        in_time(self.disconnects.subscribe().wait_for(|n| *n >= before + times)).await.expect("open");
     }
 }
 
-fn config(discovery: &Discovery, how: &str) -> Value {
+fn config(discovery: &Discovery, mode: &str) -> Value {
     let mut settings = settings();
-    settings["discovery"] = how.into();
+    settings["discovery"] = mode.into();
     settings["guarantees"]["askWithin"] = 1000.0.into();
     let mut config = discovery.config(settings);
     config["management"] = "127.0.0.1:0".into();
@@ -66,12 +66,12 @@
     config
 }
 
-fn start() -> String {
+fn start_command() -> String {
     format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")
 }
 
 /// Status and body of the answer to a request; nothing where the connection ends first.
-async fn attempt(client: &mut SendRequest<Full<Bytes>>) -> Option<(u16, Bytes)> {
+async fn try_call(client: &mut SendRequest<Full<Bytes>>) -> Option<(u16, Bytes)> {
     client.ready().await.ok()?;
     let request = request("look").body(Full::default()).expect("well formed");
     let answer = client.send_request(request).await.ok()?;
@@ -80,9 +80,9 @@
 }
 
 /// A request on a new connection, again where that is shut unread, as it may be in a crowd, or refused.
-async fn served(addr: SocketAddr) {
+async fn call_until_served(addr: SocketAddr) {
     let call =
-        async { while attempt(&mut connect(addr).await).await.is_none_or(|(status, _)| status != 200) {} };
+        async { while try_call(&mut connect(addr).await).await.is_none_or(|(status, _)| status != 200) {} };
     in_time(call).await;
 }
 
@@ -90,29 +90,29 @@
 struct BusyClients {
     tasks: JoinSet<()>,
     held_responses: Vec<Arc<Notify>>,
-    is_over: Arc<AtomicBool>,
+    should_stop: Arc<AtomicBool>,
 }
 
 impl BusyClients {
     /// They have been served; from now on every request that a backend gets is held there. Comes back
     /// when there are as many as the proxy has room for.
-    async fn begin(proxy: &Proxy, script: &Arc<BackendScript>) -> Self {
-        let (mut tasks, is_over) = (JoinSet::new(), Arc::new(AtomicBool::new(false)));
+    async fn start_and_saturate(proxy: &Proxy, script: &Arc<BackendScript>) -> Self {
+        let (mut tasks, should_stop) = (JoinSet::new(), Arc::new(AtomicBool::new(false)));
         // Answers that were 200; requests that were rejected, or whose connection was shut.
         let [served_count, rejected] = [(); 2].map(|()| Arc::new(watch::Sender::new(0)));
         for _ in 0..DESCRIPTORS / 2 {
-            let (addr, is_over) = (proxy.addr, is_over.clone());
+            let (addr, should_stop) = (proxy.addr, should_stop.clone());
             let (served_count, rejected) = (served_count.clone(), rejected.clone());
             tasks.spawn(async move {
                 loop {
                     let mut client = connect(addr).await;
-                    while let Some((status, _)) = attempt(&mut client).await {
+                    while let Some((status, _)) = try_call(&mut client).await {
                         match status {
                             200 => served_count.send_modify(|n| *n += 1),
                             503 => rejected.send_modify(|n| *n += 1),
                             other => panic!("answered {other}"),
                         }
-                        if status == 200 && is_over.load(SeqCst) {
+                        if status == 200 && should_stop.load(SeqCst) {
                             return;
                         }
                     }
@@ -124,15 +124,15 @@
         let held_responses: Vec<_> = (0..10 * DESCRIPTORS).map(|_| Arc::new(Notify::new())).collect();
         script.enqueue(held_responses.iter().cloned().map(BackendBehavior::Hold));
         let before = *rejected.borrow();
-        let enough = before + 10 * DESCRIPTORS;
-        in_time(rejected.subscribe().wait_for(|n| *n >= enough)).await.expect("open");
-        BusyClients { tasks, held_responses, is_over }
+        let rejected_target = before + 10 * DESCRIPTORS;
+        in_time(rejected.subscribe().wait_for(|n| *n >= rejected_target)).await.expect("open");
+        BusyClients { tasks, held_responses, should_stop }
     }
 
     /// All of them are served once more.
-    async fn end(mut self) {
-        self.is_over.store(true, SeqCst);
-        self.held_responses.iter().for_each(|hold| hold.notify_one());
+    async fn finish(mut self) {
+        self.should_stop.store(true, SeqCst);
+        self.held_responses.iter().for_each(|release| release.notify_one());
         while let Some(done) = in_time(self.tasks.join_next()).await {
             done.expect("no panic");
         }
@@ -142,14 +142,14 @@
 /// Looks all the time how many descriptors processes hold together, and keeps the most that was seen.
 struct DescriptorWatcher {
     _task: JoinSet<()>,
-    most: Arc<AtomicUsize>,
+    peak: Arc<AtomicUsize>,
 }
 
 impl DescriptorWatcher {
     fn start(proxies: &[&Proxy]) -> Self {
-        let most = Arc::<AtomicUsize>::default();
+        let peak = Arc::<AtomicUsize>::default();
         let mut task = JoinSet::new();
-        let (seen, tables) = (most.clone(), proxies.iter().map(|p| p.descriptor_table()).collect::<Vec<_>>());
+        let (seen, tables) = (peak.clone(), proxies.iter().map(|p| p.descriptor_table()).collect::<Vec<_>>());
         task.spawn(async move {
             loop {
                 let held = |table| std::fs::read_dir(table).map_or(0, |entries| entries.count());
@@ -157,17 +157,17 @@
                 tokio::time::sleep(Duration::from_millis(1)).await;
             }
         });
-        DescriptorWatcher { _task: task, most }
+        DescriptorWatcher { _task: task, peak }
     }
 }
 
 /// Clients fill the proxy while discovery is down. At its return the watch, the backends and the operators
 /// still get their descriptors: what was notified meanwhile holds, requests are served, and the admin API answers.
-async fn full_while_discovery_is_down(
-    how: &str,
+async fn check_full_while_discovery_is_down(
+    mode: &str,
     down: DiscoveryBehavior,
     first_bytes: &'static str,
-    busy: bool,
+    with_busy_clients: bool,
 ) {
     let script = Arc::new(BackendScript::default());
     // So many that they can hold all requests at once.
@@ -175,69 +175,71 @@
     for name in ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p"] {
         backends.push(Backend::start(name, &script).await);
     }
-    let list = |health: &str| {
+    let endpoints = |health: &str| {
         let (a, others) = backends.split_first().expect("some");
         let others = others.iter().map(|backend| backend.endpoint("SERVING"));
         std::iter::once(a.endpoint(health)).chain(others).collect::<Vec<_>>()
     };
-    let discovery = Discovery::start(list("SERVING")).await;
-    let proxy = Proxy::start_with_command(&config(&discovery, how), &start()).await;
+    let discovery = Discovery::start(endpoints("SERVING")).await;
+    let proxy = Proxy::start_with_command(&config(&discovery, mode), &start_command()).await;
     discovery.wait_until_applied().await;
     let watcher = DescriptorWatcher::start(&[&proxy]);
     discovery.set_behavior(down).await;
-    let busy_clients = if busy { Some(BusyClients::begin(&proxy, &script).await) } else { None };
-    let crowd = Crowd::start(proxy.addr, first_bytes);
-    crowd.wait_until_shut_out(2 * DESCRIPTORS).await;
+    let busy_clients =
+        if with_busy_clients { Some(BusyClients::start_and_saturate(&proxy, &script).await) } else { None };
+    let clients = ReconnectingClients::start(proxy.addr, first_bytes);
+    clients.wait_for_disconnects(2 * DESCRIPTORS).await;
     assert_eq!(proxy.call_admin("GET", "/v1/readyz").await, 200);
-    discovery.replace_list(list("DRAINING"));
+    discovery.replace_list(endpoints("DRAINING"));
     discovery.set_behavior(DiscoveryBehavior::Up).await;
     discovery.wait_until_applied().await;
-    for what in ["suspend", "resume"] {
-        assert_eq!(proxy.call_admin("POST", &format!("/v1/backends/b/{what}")).await, 200);
+    for action in ["suspend", "resume"] {
+        assert_eq!(proxy.call_admin("POST", &format!("/v1/backends/b/{action}")).await, 200);
     }
     tokio::time::sleep(DRAIN_DEADLINE).await;
     let before = script.requests_at("a");
     if let Some(busy_clients) = busy_clients {
-        busy_clients.end().await;
+        busy_clients.finish().await;
     }
     for _ in 0..10 {
-        served(proxy.addr).await;
+        call_until_served(proxy.addr).await;
     }
     assert_eq!(script.requests_at("a"), before, "nothing new goes there");
-    crowd.wait_until_shut_out(1).await;
-    let most = watcher.most.load(SeqCst);
-    assert!(most < DESCRIPTORS, "one was always free, {most} were seen");
+    clients.wait_for_disconnects(1).await;
+    let peak = watcher.peak.load(SeqCst);
+    assert!(peak < DESCRIPTORS, "one was always free, {peak} were seen");
 }
 
 const NO_BYTES: &str = "";
-const HALF_HEAD: &str = "GET /look HTTP/1.1\r\nHost: o\r\n";
+const INCOMPLETE_HEAD: &str = "GET /look HTTP/1.1\r\nHost: o\r\n";
 
 #[tokio::test]
 async fn full_of_idle_clients_while_discovery_refuses() {
-    full_while_discovery_is_down("automatic", DiscoveryBehavior::Refusing, NO_BYTES, false).await;
-    full_while_discovery_is_down("subscribe", DiscoveryBehavior::Refusing, NO_BYTES, false).await;
+    check_full_while_discovery_is_down("automatic", DiscoveryBehavior::Refusing, NO_BYTES, false).await;
+    check_full_while_discovery_is_down("subscribe", DiscoveryBehavior::Refusing, NO_BYTES, false).await;
 }
 
 #[tokio::test]
 async fn full_of_idle_clients_while_discovery_is_silent() {
-    full_while_discovery_is_down("automatic", DiscoveryBehavior::Silent, NO_BYTES, false).await;
-    full_while_discovery_is_down("subscribe", DiscoveryBehavior::Silent, NO_BYTES, false).await;
+    check_full_while_discovery_is_down("automatic", DiscoveryBehavior::Silent, NO_BYTES, false).await;
+    check_full_while_discovery_is_down("subscribe", DiscoveryBehavior::Silent, NO_BYTES, false).await;
 }
 
 #[tokio::test]
 async fn full_of_slow_clients_while_discovery_refuses() {
-    full_while_discovery_is_down("automatic", DiscoveryBehavior::Refusing, HALF_HEAD, false).await;
+    check_full_while_discovery_is_down("automatic", DiscoveryBehavior::Refusing, INCOMPLETE_HEAD, false)
+        .await;
 }
 
 #[tokio::test]
 async fn full_of_busy_and_idle_clients_while_discovery_refuses() {
-    full_while_discovery_is_down("automatic", DiscoveryBehavior::Refusing, NO_BYTES, true).await;
-    full_while_discovery_is_down("subscribe", DiscoveryBehavior::Refusing, NO_BYTES, true).await;
+    check_full_while_discovery_is_down("automatic", DiscoveryBehavior::Refusing, NO_BYTES, true).await;
+    check_full_while_discovery_is_down("subscribe", DiscoveryBehavior::Refusing, NO_BYTES, true).await;
 }
 
 #[tokio::test]
 async fn full_of_busy_and_slow_clients_while_discovery_is_silent() {
-    full_while_discovery_is_down("automatic", DiscoveryBehavior::Silent, HALF_HEAD, true).await;
+    check_full_while_discovery_is_down("automatic", DiscoveryBehavior::Silent, INCOMPLETE_HEAD, true).await;
 }
 
 /// Guards against taking more connections from the closing listener than there are descriptors.
@@ -246,13 +248,13 @@
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![backend.endpoint("SERVING")]).await;
-    let mut proxy = Proxy::start_with_command(&config(&discovery, "automatic"), &start()).await;
+    let mut proxy = Proxy::start_with_command(&config(&discovery, "automatic"), &start_command()).await;
     discovery.wait_until_applied().await;
     let watcher = DescriptorWatcher::start(&[&proxy]);
-    let crowd = Crowd::start(proxy.addr, NO_BYTES);
-    crowd.wait_until_shut_out(2 * DESCRIPTORS).await;
+    let clients = ReconnectingClients::start(proxy.addr, NO_BYTES);
+    clients.wait_for_disconnects(2 * DESCRIPTORS).await;
     proxy.terminate().await;
     assert!(proxy.wait_for_exit().await.success());
-    let most = watcher.most.load(SeqCst);
-    assert!(most < DESCRIPTORS, "one was always free, {most} were seen");
+    let peak = watcher.peak.load(SeqCst);
+    assert!(peak < DESCRIPTORS, "one was always free, {peak} were seen");
 }
--- a/crates/proxy/tests/discovery_notification.rs
+++ b/crates/proxy/tests/discovery_notification.rs
@@ -14,12 +14,16 @@
 use tokio::time::{sleep, timeout};
 
 /// An agent that ends its first connections at their first call, then tells a list; the calls as they come.
-fn agent(listener: TcpListener, failing: usize, hosts: Vec<Value>) -> mpsc::UnboundedReceiver<String> {
-    let (wait_for_requests, calls) = mpsc::unbounded_channel();
+fn start_agent(
+    listener: TcpListener,
+    failing_connections: usize,
+    hosts: Vec<Value>,
+) -> mpsc::UnboundedReceiver<String> {
+    let (call_sender, calls) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         for n in 0.. {
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            let (wait_for_requests, hosts) = (wait_for_requests.clone(), hosts.clone());
+            let (call_sender, hosts) = (call_sender.clone(), hosts.clone());
             tokio::spawn(async move {
                 let mut seen = Vec::new();
                 while stream.read_buf(&mut seen).await.is_ok_and(|n| n > 0) {
@@ -27,20 +31,20 @@
                         continue;
                     }
                     let call = String::from_utf8(std::mem::take(&mut seen)).expect("text");
-                    let watch = call.contains("after=9&");
+                    let is_watch = call.contains("after=9&");
                     // The test may be over.
-                    let _ = wait_for_requests.send(call);
-                    if n < failing {
+                    let _ = call_sender.send(call);
+                    if n < failing_connections {
                         return;
                     }
-                    let page = if watch {
+                    let list = if is_watch {
                         sleep(Duration::from_millis(200)).await;
                         json!({"seq": 9, "whole": false, "hosts": []})
                     } else {
                         json!({"seq": 9, "whole": true, "hosts": hosts})
                     };
-                    let page = page.to_string();
-                    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{page}", page.len());
+                    let list = list.to_string();
+                    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
                     let _ = stream.write_all(answer.as_bytes()).await;
                 }
             });
@@ -50,12 +54,12 @@
 }
 
 /// A call that comes within the term.
-async fn in_term<T>(call: impl Future<Output = T>) -> T {
+async fn within_deadline<T>(call: impl Future<Output = T>) -> T {
     timeout(Duration::from_millis(NOTIFICATION_DEADLINE_MS as u64), call).await.expect("within the term")
 }
 
 /// Where asking is due so rarely, a pause that follows from that alone is longer than the term.
-fn rarely() -> Value {
+fn settings_with_rare_polls() -> Value {
     let mut settings = settings();
     settings["discovery"] = "subscribe".into();
     settings["guarantees"]["askWithin"] = 120_000.0.into();
@@ -63,13 +67,13 @@
 }
 
 /// Waits until the log says so.
-async fn logged(proxy: &mut Proxy, says: &str) {
+async fn wait_for_log_line(proxy: &mut Proxy, line_part: &str) {
     let log = proxy.log.as_mut().expect("it is read");
-    while !log.next_line().await.expect("readable").expect("it goes on").contains(says) {}
+    while !log.next_line().await.expect("readable").expect("it goes on").contains(line_part) {}
 }
 
 /// Waits until a call shows that the list is held.
-async fn held(calls: &mut mpsc::UnboundedReceiver<String>) {
+async fn wait_until_list_is_held(calls: &mut mpsc::UnboundedReceiver<String>) {
     while !in_time(calls.recv()).await.expect("it calls").contains("after=9&") {}
 }
 
@@ -82,19 +86,20 @@
     let known = json!({"seq": 1, "whole": true, "hosts": [a.endpoint("SERVING"), b.endpoint("SERVING")]});
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": address.to_string(),
                         "seed": "8c1f30d27a5be964", "known": known,
-                        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": rarely()});
+                        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+                        "settings": settings_with_rare_polls()});
     let mut proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
-    in_term(logged(&mut proxy, "refused")).await;
+    within_deadline(wait_for_log_line(&mut proxy, "refused")).await;
     for _ in 0..20 {
         assert_eq!(proxy.call("look").await.0, 200);
     }
     assert!(script.requests_at("a") > 0, "what it knew is used");
     let listener = socket.listen(16).expect("it listens");
-    let mut calls = agent(listener, 3, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
+    let mut calls = start_agent(listener, 3, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
     for _ in 0..4 {
-        in_term(calls.recv()).await.expect("it calls");
+        within_deadline(calls.recv()).await.expect("it calls");
     }
-    held(&mut calls).await;
+    wait_until_list_is_held(&mut calls).await;
     let before = script.requests_at("a");
     for _ in 0..20 {
         assert_eq!(proxy.call("look").await, (200, "b".into()));
@@ -108,16 +113,16 @@
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
-    let mut proxy = Proxy::start_with_list_applied(&discovery, rarely()).await;
+    let mut proxy = Proxy::start_with_list_applied(&discovery, settings_with_rare_polls()).await;
     let (socket, address) = bound_socket_without_listener();
-    let mut config = discovery.config(rarely());
+    let mut config = discovery.config(settings_with_rare_polls());
     config["discovery"] = address.to_string().into();
     proxy.reload(&config.to_string(), "configuration applied").await;
-    in_term(logged(&mut proxy, "refused")).await;
+    within_deadline(wait_for_log_line(&mut proxy, "refused")).await;
     let listener = socket.listen(16).expect("it listens");
-    let mut calls = agent(listener, 0, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
-    in_term(calls.recv()).await.expect("it calls");
-    held(&mut calls).await;
+    let mut calls = start_agent(listener, 0, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
+    within_deadline(calls.recv()).await.expect("it calls");
+    wait_until_list_is_held(&mut calls).await;
     let before = script.requests_at("a");
     for _ in 0..20 {
         assert_eq!(proxy.call("look").await, (200, "b".into()));
@@ -134,11 +139,12 @@
     let address = listener.local_addr().expect("bound");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": address.to_string(),
                         "seed": "8c1f30d27a5be964",
-                        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256}, "settings": rarely()});
+                        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+                        "settings": settings_with_rare_polls()});
     let mut proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
-    in_term(logged(&mut proxy, "no connection in time")).await;
-    let mut calls = agent(listener, 0, vec![b.endpoint("SERVING")]);
-    in_term(calls.recv()).await.expect("it calls");
-    held(&mut calls).await;
+    within_deadline(wait_for_log_line(&mut proxy, "no connection in time")).await;
+    let mut calls = start_agent(listener, 0, vec![b.endpoint("SERVING")]);
+    within_deadline(calls.recv()).await.expect("it calls");
+    wait_until_list_is_held(&mut calls).await;
     assert_eq!(proxy.call("look").await, (200, "b".into()));
 }
--- a/crates/proxy/tests/drained_tier.rs
+++ b/crates/proxy/tests/drained_tier.rs
@@ -18,7 +18,7 @@
 const OUTAGE: Duration = Duration::from_secs(1);
 
 /// Settings by which a request that no backend can take is rejected soon.
-fn impatient_settings(mode: &str) -> Value {
+fn settings_with_short_queue_wait(mode: &str) -> Value {
     let mut settings = settings();
     settings["discovery"] = mode.into();
     settings["guarantees"]["askWithin"] = 10_000.0.into();
@@ -36,19 +36,22 @@
             let script = Arc::new(BackendScript::default());
             let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
             let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
-            let proxy = Proxy::start_with_list_applied(&discovery, impatient_settings(mode)).await;
+            let proxy =
+                Proxy::start_with_list_applied(&discovery, settings_with_short_queue_wait(mode)).await;
             discovery.set_behavior(outage).await;
             discovery.replace_list(Vec::new());
             sleep(OUTAGE).await;
-            let lists = discovery.full_list_requests.load(SeqCst);
+            let full_lists_before = discovery.full_list_requests.load(SeqCst);
             discovery.set_behavior(DiscoveryBehavior::Up).await;
             // A watch that was not answered meanwhile tells it, too.
-            let is_told = async {
-                while discovery.full_list_requests.load(SeqCst) == lists && !proxy_holds(&discovery).await {
+            let list_arrived = async {
+                while discovery.full_list_requests.load(SeqCst) == full_lists_before
+                    && !is_list_applied(&discovery).await
+                {
                     sleep(Duration::from_millis(5)).await;
                 }
             };
-            in_time(is_told).await;
+            in_time(list_arrived).await;
             let applied = timeout(DRAIN_DEADLINE, discovery.wait_until_applied()).await;
             assert!(applied.is_ok(), "{mode}: the list is not believed");
             let before = script.seen.borrow().len();
@@ -64,7 +67,7 @@
 }
 
 /// Whether the present list is held by now.
-async fn proxy_holds(discovery: &Discovery) -> bool {
+async fn is_list_applied(discovery: &Discovery) -> bool {
     timeout(Duration::ZERO, discovery.wait_until_applied()).await.is_ok()
 }
 
@@ -72,7 +75,7 @@
 #[derive(Clone)]
 enum DiscoveryAnswer {
     /// Answers a whole list of these backends.
-    Whole(u64, Vec<Value>),
+    FullList(u64, Vec<Value>),
     /// Answers these changes.
     Changes(u64, Vec<Value>),
     /// Ends the connection without an answer.
@@ -84,7 +87,7 @@
 async fn scripted_discovery(answers: Vec<DiscoveryAnswer>) -> (std::net::SocketAddr, watch::Receiver<usize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (calls, came) = watch::channel(0);
+    let (calls, call_count) = watch::channel(0);
     let (calls, answers) = (Arc::new(calls), Arc::new(answers));
     tokio::spawn(async move {
         loop {
@@ -99,13 +102,13 @@
                     received.clear();
                     let mut number = 0;
                     calls.send_modify(|calls| (number, *calls) = (*calls, *calls + 1));
-                    let (is_whole, version, hosts) = match answers.get(number).cloned() {
-                        Some(DiscoveryAnswer::Whole(version, hosts)) => (true, version, hosts),
+                    let (is_full_list, version, hosts) = match answers.get(number).cloned() {
+                        Some(DiscoveryAnswer::FullList(version, hosts)) => (true, version, hosts),
                         Some(DiscoveryAnswer::Changes(version, hosts)) => (false, version, hosts),
                         Some(DiscoveryAnswer::Close) => return,
                         None => continue,
                     };
-                    let list = json!({"seq": version, "whole": is_whole, "hosts": hosts}).to_string();
+                    let list = json!({"seq": version, "whole": is_full_list, "hosts": hosts}).to_string();
                     let length = list.len();
                     let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{list}");
                     let _ = stream.write_all(answer.as_bytes()).await;
@@ -113,17 +116,17 @@
             });
         }
     });
-    (address, came)
+    (address, call_count)
 }
 
 /// A started proxy whose discovery gives these answers, and has given them all.
-async fn proxy_after(answers: Vec<DiscoveryAnswer>) -> Proxy {
+async fn proxy_after_answers(answers: Vec<DiscoveryAnswer>) -> Proxy {
     let last = answers.len();
     let (address, mut calls) = scripted_discovery(answers).await;
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": address.to_string(),
                         "seed": "8c1f30d27a5be964",
                         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-                        "settings": impatient_settings("automatic")});
+                        "settings": settings_with_short_queue_wait("automatic")});
     let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     in_time(calls.wait_for(|calls| *calls > last)).await.expect("open");
     proxy
@@ -134,11 +137,11 @@
 async fn revoked_empty_list_rejects_no_request() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let named = vec![a.endpoint("SERVING")];
-    let proxy = proxy_after(vec![
-        DiscoveryAnswer::Whole(1, named.clone()),
-        DiscoveryAnswer::Whole(2, Vec::new()),
-        DiscoveryAnswer::Whole(3, named),
+    let endpoints = vec![a.endpoint("SERVING")];
+    let proxy = proxy_after_answers(vec![
+        DiscoveryAnswer::FullList(1, endpoints.clone()),
+        DiscoveryAnswer::FullList(2, Vec::new()),
+        DiscoveryAnswer::FullList(3, endpoints),
     ])
     .await;
     for _ in 0..5 {
@@ -151,9 +154,9 @@
 async fn empty_list_applies_when_the_next_poll_fails() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let proxy = proxy_after(vec![
-        DiscoveryAnswer::Whole(1, vec![a.endpoint("SERVING")]),
-        DiscoveryAnswer::Whole(2, Vec::new()),
+    let proxy = proxy_after_answers(vec![
+        DiscoveryAnswer::FullList(1, vec![a.endpoint("SERVING")]),
+        DiscoveryAnswer::FullList(2, Vec::new()),
         DiscoveryAnswer::Close,
     ])
     .await;
@@ -168,11 +171,11 @@
 async fn older_empty_list_rejects_no_request() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let proxy = proxy_after(vec![
-        DiscoveryAnswer::Whole(7, vec![a.endpoint("SERVING")]),
-        DiscoveryAnswer::Whole(6, Vec::new()),
-        DiscoveryAnswer::Whole(6, Vec::new()),
-        DiscoveryAnswer::Whole(6, Vec::new()),
+    let proxy = proxy_after_answers(vec![
+        DiscoveryAnswer::FullList(7, vec![a.endpoint("SERVING")]),
+        DiscoveryAnswer::FullList(6, Vec::new()),
+        DiscoveryAnswer::FullList(6, Vec::new()),
+        DiscoveryAnswer::FullList(6, Vec::new()),
     ])
     .await;
     for _ in 0..5 {
@@ -201,8 +204,8 @@
         with("share", Value::Null),
     ];
     for entry in entries {
-        let proxy = proxy_after(vec![
-            DiscoveryAnswer::Whole(1, vec![a.endpoint("SERVING"), b.endpoint("SERVING")]),
+        let proxy = proxy_after_answers(vec![
+            DiscoveryAnswer::FullList(1, vec![a.endpoint("SERVING"), b.endpoint("SERVING")]),
             DiscoveryAnswer::Changes(2, vec![entry.clone()]),
         ])
         .await;
--- a/crates/proxy/tests/exchange_isolation.rs
+++ b/crates/proxy/tests/exchange_isolation.rs
@@ -13,11 +13,11 @@
 /// Bodies longer than 64 KiB are streamed through.
 const STREAMED_BYTES: usize = 200_000;
 /// More than all that the system holds of a body that nobody reads.
-const ENDLESS_BYTES: usize = 30_000_000;
+const LARGE_BODY_BYTES: usize = 30_000_000;
 /// So many bytes the proxy reads at once where it expects a head.
 const READ_BYTES: usize = 4096;
 /// So many requests at once are surely let through by a limit that has learned nothing yet.
-const AT_ONCE: usize = 7;
+const CONCURRENT_REQUESTS: usize = 7;
 /// Bad peers are owed an error or a close within this.
 const BAD_PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -68,7 +68,7 @@
             assert_eq!(client.read_to_close().await, b"");
             return;
         }
-        client.write(chunked_call("next", 4)).await;
+        client.write(chunked_request("next", 4)).await;
         let mut connection = self.backend.accept().await;
         assert_eq!(connection.read_request().await, Some(("next".into(), "xxxx".into())));
         connection.write(response(200, "", "next")).await;
@@ -77,26 +77,26 @@
 }
 
 /// A request with more headers.
-fn call_with(line: &str, id: &str, headers: &str) -> String {
+fn request_head_with(line: &str, id: &str, headers: &str) -> String {
     request_head(line, id).replace("Host: o\r\n", &format!("Host: o\r\n{headers}\r\n"))
 }
 
 fn upload_head(id: &str, length: usize) -> String {
-    call_with("POST /once", id, &format!("Content-Length: {length}"))
+    request_head_with("POST /once", id, &format!("Content-Length: {length}"))
 }
 
-fn chunked_call(id: &str, chunks: usize) -> String {
-    let head = call_with("POST /once", id, "Transfer-Encoding: chunked");
+fn chunked_request(id: &str, chunks: usize) -> String {
+    let head = request_head_with("POST /once", id, "Transfer-Encoding: chunked");
     head + &"1\r\nx\r\n".repeat(chunks) + "0\r\n\r\n"
 }
 
 /// A copy of an earlier response comes while an upload is on its way: no backend has begun that request.
 #[tokio::test]
 async fn response_copy_during_an_upload_does_not_answer_it() {
-    let s = Fixture::new(settings()).await;
+    let fixture = Fixture::new(settings()).await;
     // Given: a kept connection that carries the first half of an upload.
-    let (mut connection, first) = s.kept_connection().await;
-    let mut client = s.client().await;
+    let (mut connection, first) = fixture.kept_connection().await;
+    let mut client = fixture.client().await;
     client.write(upload_head("upload", STREAMED_BYTES)).await;
     client.write("u".repeat(STREAMED_BYTES / 2)).await;
     assert!(connection.read_head().await.expect("a request").contains("req-id: upload"));
@@ -106,18 +106,18 @@
     // Then: that is not the answer, and the upload never runs.
     assert_ne!(answer.0, 200, "{answer:?} is that of another request");
     connection.read_to_close().await;
-    s.next_is_served_on_a_new_connection().await;
+    fixture.next_is_served_on_a_new_connection().await;
 }
 
 /// What is left of an upload that was answered early is no part of the next head.
 #[tokio::test]
 async fn request_after_an_early_answered_upload_is_served() {
-    let s = Fixture::new(settings()).await;
+    let fixture = Fixture::new(settings()).await;
     // Given: an upload that the backend answers before its last byte.
-    let mut client = s.client().await;
+    let mut client = fixture.client().await;
     client.write(upload_head("upload", STREAMED_BYTES)).await;
     client.write("u".repeat(STREAMED_BYTES / 2)).await;
-    let mut connection = s.backend.accept().await;
+    let mut connection = fixture.backend.accept().await;
     connection.read_head().await.expect("a request");
     connection.write(response(404, "", "")).await;
     let (answer, _) = client.read_message().await.expect("an answer");
@@ -125,19 +125,19 @@
     // When: its client sends the rest.
     client.write("u".repeat(STREAMED_BYTES - STREAMED_BYTES / 2)).await;
     // Then: what it sends next is served.
-    s.next_is_served_unless_closed(&mut client, &answer).await;
+    fixture.next_is_served_unless_closed(&mut client, &answer).await;
 }
 
 /// The same where the rest comes in chunks: only the HTTP library sees where it ends.
 #[tokio::test]
 async fn request_after_an_early_answered_chunked_upload_is_served() {
-    let s = Fixture::new(settings()).await;
+    let fixture = Fixture::new(settings()).await;
     let chunk = format!("{:x}\r\n{}\r\n", STREAMED_BYTES / 2, "u".repeat(STREAMED_BYTES / 2));
     // Given: an upload in chunks that the backend answers before its last byte.
-    let mut client = s.client().await;
-    client.write(call_with("POST /once", "upload", "Transfer-Encoding: chunked")).await;
+    let mut client = fixture.client().await;
+    client.write(request_head_with("POST /once", "upload", "Transfer-Encoding: chunked")).await;
     client.write(&chunk).await;
-    let mut connection = s.backend.accept().await;
+    let mut connection = fixture.backend.accept().await;
     connection.read_head().await.expect("a request");
     connection.write(response(404, "", "")).await;
     let (answer, _) = client.read_message().await.expect("an answer");
@@ -145,26 +145,27 @@
     // When: its client sends the rest.
     client.write(chunk + "0\r\n\r\n").await;
     // Then: what it sends next is served.
-    s.next_is_served_unless_closed(&mut client, &answer).await;
+    fixture.next_is_served_unless_closed(&mut client, &answer).await;
 }
 
 /// A head with a length beside its coding is rejected, also where what was left of the body before it looks like a head
 /// in order.
 #[tokio::test]
 async fn rest_of_an_upload_is_not_checked_as_the_next_head() {
-    let s = Fixture::new(settings()).await;
-    let rest = chunked_call("in-the-body", 0);
-    let behind = call_with("POST /once", "next", "Transfer-Encoding: chunked\r\nContent-Length: 5");
+    let fixture = Fixture::new(settings()).await;
+    let rest = chunked_request("in-the-body", 0);
+    let next_head =
+        request_head_with("POST /once", "next", "Transfer-Encoding: chunked\r\nContent-Length: 5");
     // Given: an upload that was answered early.
-    let mut client = s.client().await;
+    let mut client = fixture.client().await;
     client.write(upload_head("upload", STREAMED_BYTES + rest.len())).await;
     client.write("u".repeat(STREAMED_BYTES)).await;
-    let mut connection = s.backend.accept().await;
+    let mut connection = fixture.backend.accept().await;
     connection.read_head().await.expect("a request");
     connection.write(response(404, "", "")).await;
     assert_eq!(client.read_answer().await.expect("an answer").0, 502);
     // When: its rest looks like a request in order, and the one behind it is none.
-    client.write(rest + &behind + "0\r\n\r\n").await;
+    client.write(rest + &next_head + "0\r\n\r\n").await;
     // Then: that one is rejected.
     assert_eq!(client.read_answer().await.expect("an answer").0, 400);
 }
@@ -175,25 +176,25 @@
 async fn request_after_a_rejected_upload_is_served() {
     let mut settings = settings();
     settings["caps"]["openCap"] = 1.into();
-    let s = Fixture::new(settings).await;
+    let fixture = Fixture::new(settings).await;
     // Given: the one request that may be open.
-    let mut open = s.client().await;
-    open.write(request_head("GET /look", "open")).await;
-    let mut connection = s.backend.accept().await;
+    let mut open_client = fixture.client().await;
+    open_client.write(request_head("GET /look", "open")).await;
+    let mut connection = fixture.backend.accept().await;
     connection.read_request().await.expect("a request");
     // When: an upload is rejected while it is written, and that one is answered.
-    let mut client = s.client().await;
-    client.write(upload_head("upload", ENDLESS_BYTES)).await;
-    client.write("u".repeat(ENDLESS_BYTES)).await;
+    let mut client = fixture.client().await;
+    client.write(upload_head("upload", LARGE_BODY_BYTES)).await;
+    client.write("u".repeat(LARGE_BODY_BYTES)).await;
     let (answer, _) = client.read_message().await.expect("an answer");
     assert!(answer.starts_with("http/1.1 503 "), "{answer}");
     connection.write(response(200, "", "open")).await;
-    assert_eq!(open.read_answer().await, Some((200, "open".into())));
+    assert_eq!(open_client.read_answer().await, Some((200, "open".into())));
     // The proxy has seen the end of the backend's connection: a request that crosses it may have run.
     connection.stream.shutdown().await.expect("open");
     assert_eq!(connection.read_to_close().await, b"");
     // Then: what its client sends next is served.
-    s.next_is_served_unless_closed(&mut client, &answer).await;
+    fixture.next_is_served_unless_closed(&mut client, &answer).await;
 }
 
 /// The same where it waited for a backend in vain.
@@ -207,8 +208,8 @@
     let discovery = Discovery::start(Vec::new()).await;
     let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
     let mut client = RawConnection::connect(proxy.addr).await;
-    client.write(upload_head("upload", ENDLESS_BYTES)).await;
-    client.write("u".repeat(ENDLESS_BYTES)).await;
+    client.write(upload_head("upload", LARGE_BODY_BYTES)).await;
+    client.write("u".repeat(LARGE_BODY_BYTES)).await;
     assert_eq!(client.read_answer().await.expect("an answer").0, 503);
 }
 
@@ -224,9 +225,9 @@
     let discovery = Discovery::start(Vec::new()).await;
     let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
     let mut client = RawConnection::connect(proxy.addr).await;
-    client.write(call_with("POST /once", "upload", "Transfer-Encoding: chunked")).await;
+    client.write(request_head_with("POST /once", "upload", "Transfer-Encoding: chunked")).await;
     let chunk = format!("{CHUNK_BYTES:x}\r\n{}\r\n", "u".repeat(CHUNK_BYTES));
-    client.write(chunk.repeat(ENDLESS_BYTES / CHUNK_BYTES) + "0\r\n\r\n").await;
+    client.write(chunk.repeat(LARGE_BODY_BYTES / CHUNK_BYTES) + "0\r\n\r\n").await;
     let (answer, _) = client.read_message().await.expect("an answer");
     assert!(answer.starts_with("http/1.1 503 "), "{answer}");
     assert_eq!(header(&answer, "connection"), Some("close"));
@@ -236,17 +237,17 @@
 /// The body of a request that was rejected by its head, read behind that answer, is no part of the next head.
 #[tokio::test]
 async fn request_after_a_discarded_body_is_served() {
-    let s = Fixture::new(settings()).await;
+    let fixture = Fixture::new(settings()).await;
     // Given: a request that is rejected by its head, before all of its body is read.
-    let mut client = s.client().await;
-    let head = call_with("POST /unknown", "rejected", &format!("Content-Length: {READ_BYTES}"));
+    let mut client = fixture.client().await;
+    let head = request_head_with("POST /unknown", "rejected", &format!("Content-Length: {READ_BYTES}"));
     client.write(head + &"{".repeat(READ_BYTES)).await;
     let (answer, _) = client.read_message().await.expect("an answer");
     assert!(answer.starts_with("http/1.1 404 "), "{answer}");
     // When: its body has been passed over.
-    wait_until_read(&s.proxy, &client).await;
+    wait_until_read(&fixture.proxy, &client).await;
     // Then: what its client sends next is served.
-    s.next_is_served_unless_closed(&mut client, &answer).await;
+    fixture.next_is_served_unless_closed(&mut client, &answer).await;
 }
 
 /// Where places are short a client that rests gives way, unless it has just asked: its request may have been read in
@@ -263,30 +264,30 @@
     let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     // Given: resting clients on all places.
-    let mut resting = Vec::new();
+    let mut idle = Vec::new();
     for n in 0..DESCRIPTORS / 4 {
         let mut client = RawConnection::connect(proxy.addr).await;
         client.write(request_head("GET /look", &n.to_string())).await;
         assert_eq!(client.read_answer().await, Some((200, "a".into())));
-        resting.push(client);
+        idle.push(client);
     }
     let served = script.requests_at("a");
     // When: as many others connect as those write that have rested longest, in one turn of the proxy.
     proxy.pause().await;
     let mut others = Vec::new();
-    for _ in 0..AT_ONCE {
+    for _ in 0..CONCURRENT_REQUESTS {
         others.push(RawConnection::connect(proxy.addr).await);
     }
-    let late = &mut resting[..AT_ONCE];
+    let late = &mut idle[..CONCURRENT_REQUESTS];
     for (n, client) in late.iter_mut().enumerate() {
-        client.write(chunked_call(&format!("late-{n}"), CHUNKS)).await;
+        client.write(chunked_request(&format!("late-{n}"), CHUNKS)).await;
     }
     proxy.resume_process().await;
     // Then: each of their requests is served, once.
     for (n, client) in late.iter_mut().enumerate() {
         assert_eq!(client.read_answer().await, Some((200, "a".into())), "{n}");
     }
-    assert_eq!(script.requests_at("a"), served + AT_ONCE);
+    assert_eq!(script.requests_at("a"), served + CONCURRENT_REQUESTS);
 }
 
 /// What was read in one is taken request by request: a connection that is to give way meanwhile ends with an answer that
@@ -302,20 +303,20 @@
     let proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     // Given: resting clients on all places.
-    let mut resting = Vec::new();
+    let mut idle = Vec::new();
     for _ in 0..DESCRIPTORS / 4 {
         let mut client = RawConnection::connect(proxy.addr).await;
         client.write(HEALTH_CHECK).await;
         client.read_answer().await.expect("an answer");
-        resting.push(client);
+        idle.push(client);
     }
     // When: as many others connect as those write that have rested longest, in one turn of the proxy.
     proxy.pause().await;
     let mut others = Vec::new();
-    for _ in 0..AT_ONCE {
+    for _ in 0..CONCURRENT_REQUESTS {
         others.push(RawConnection::connect(proxy.addr).await);
     }
-    let late = &mut resting[..AT_ONCE];
+    let late = &mut idle[..CONCURRENT_REQUESTS];
     for client in late.iter_mut() {
         client.write(HEALTH_CHECK.repeat(PIPELINED)).await;
     }
@@ -341,12 +342,12 @@
     const SIZE_STEP_BYTES: usize = 8 * 1024;
     let mut settings = settings();
     settings["caps"]["connIdle"] = (IDLE_TIMEOUT.as_millis() as u64).into();
-    let s = Fixture::new(settings).await;
+    let fixture = Fixture::new(settings).await;
     // Given: clients that read nothing of ever shorter responses, until the proxy has passed on all of one. Most of the
     // others the backend has written to their ends.
     let mut exchanges: Vec<(RawConnection, RawConnection, bool)> = Vec::new();
     for n in (0..SIZES).rev() {
-        let mut client = RawConnection::connect_with_small_buffer(s.proxy.addr).await;
+        let mut client = RawConnection::connect_with_small_buffer(fixture.proxy.addr).await;
         client.write(request_head("GET /look", &n.to_string())).await;
         let is_connection_used_again = async {
             match exchanges.last() {
@@ -355,7 +356,7 @@
             }
         };
         let mut connection = tokio::select! {
-            connection = s.backend.accept() => connection,
+            connection = fixture.backend.accept() => connection,
             () = is_connection_used_again => break,
         };
         connection.read_request().await.expect("a request");
@@ -369,45 +370,45 @@
     assert!(!exchanges.is_empty(), "no response has ended before its client took it");
     // When: they read on shortly before the backend's time for a rest is over.
     sleep_until(last_ended_at + IDLE_TIMEOUT * 9 / 10).await;
-    let mut resting = Vec::new();
+    let mut idle = Vec::new();
     for (mut client, connection, _) in exchanges {
         client.read_message().await.expect("an answer");
-        resting.push(connection);
+        idle.push(connection);
     }
     sleep_until(last_ended_at + IDLE_TIMEOUT).await;
     // Then: the next request comes on none of these connections.
-    let mut client = s.client().await;
+    let mut client = fixture.client().await;
     client.write(request_head("POST /once", "next")).await;
-    let mut connection = s.backend.accept().await;
+    let mut connection = fixture.backend.accept().await;
     assert_eq!(connection.read_request().await.expect("a request").0, "next");
 }
 
 /// Half a head that comes together with the request before it has the time of a head, and not that of a rest.
 #[tokio::test]
 async fn incomplete_head_behind_a_request_times_out() {
-    let s = Fixture::new(settings()).await;
-    let mut client = s.client().await;
-    let begun_at = Instant::now();
+    let fixture = Fixture::new(settings()).await;
+    let mut client = fixture.client().await;
+    let started_at = Instant::now();
     client.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\nGET /look HTTP/1.1\r\nHost:").await;
     assert_eq!(client.read_answer().await.expect("an answer").0, 200);
     client.read_to_close().await;
-    assert!(begun_at.elapsed() < BAD_PEER_TIMEOUT, "{:?}", begun_at.elapsed());
+    assert!(started_at.elapsed() < BAD_PEER_TIMEOUT, "{:?}", started_at.elapsed());
 }
 
 /// The backend's answer to a request whose client has left, or whose time is up, is not the next request's.
 #[tokio::test]
 async fn response_to_an_abandoned_request_answers_no_other() {
-    for is_late in [false, true] {
-        let s = Fixture::new(settings()).await;
+    for is_timeout in [false, true] {
+        let fixture = Fixture::new(settings()).await;
         // Given: a request on a kept connection.
-        let (mut connection, _) = s.kept_connection().await;
-        let mut client = s.client().await;
+        let (mut connection, _) = fixture.kept_connection().await;
+        let mut client = fixture.client().await;
         let text = request_head("POST /once", "abandoned");
-        let deadline_ms = if is_late { "200" } else { "60000" };
+        let deadline_ms = if is_timeout { "200" } else { "60000" };
         client.write(text.replace("60000", deadline_ms)).await;
         assert_eq!(connection.read_request().await.expect("a request").0, "abandoned");
         // When: it is abandoned, the backend answers all the same, and another request comes.
-        if is_late {
+        if is_timeout {
             assert_ne!(client.read_answer().await.expect("an answer").0, 200);
         } else {
             drop(client);
@@ -416,7 +417,7 @@
         // The proxy may have reset it.
         let _ = connection.stream.write_all(&response(200, "", "abandoned")).await;
         // Then: that gets its own answer.
-        s.next_is_served_on_a_new_connection().await;
+        fixture.next_is_served_on_a_new_connection().await;
     }
 }
 
@@ -425,14 +426,14 @@
 async fn bytes_after_a_closing_response_answer_no_request() {
     let interim = b"HTTP/1.1 103 X\r\n\r\n".to_vec();
     for rest in [response(200, "", "other"), response(500, "", ""), interim] {
-        let s = Fixture::new(settings()).await;
-        let mut client = s.client().await;
+        let fixture = Fixture::new(settings()).await;
+        let mut client = fixture.client().await;
         client.write(request_head("POST /once", "last")).await;
-        let mut connection = s.backend.accept().await;
+        let mut connection = fixture.backend.accept().await;
         connection.read_request().await.expect("a request");
         connection.write([response(200, "Connection: close\r\n", "last"), rest].concat()).await;
         assert_eq!(client.read_answer().await, Some((200, "last".into())));
-        s.next_is_served_on_a_new_connection().await;
+        fixture.next_is_served_on_a_new_connection().await;
     }
 }
 
@@ -440,10 +441,10 @@
 #[tokio::test]
 async fn leftover_interim_response_answers_no_request() {
     const INTERIM: &str = "HTTP/1.1 103 X\r\nLink: </a>\r\n\r\n";
-    let s = Fixture::new(settings()).await;
+    let fixture = Fixture::new(settings()).await;
     // Given: a kept connection, on which an interim response comes behind the next request's bytes.
-    let (mut connection, _) = s.kept_connection().await;
-    let mut client = s.client().await;
+    let (mut connection, _) = fixture.kept_connection().await;
+    let mut client = fixture.client().await;
     client.write(request_head("POST /once", "second")).await;
     assert_eq!(connection.read_request().await.expect("a request").0, "second");
     connection.write(INTERIM).await;
@@ -453,52 +454,52 @@
     connection.write(INTERIM).await;
     assert_eq!(connection.read_to_close().await, b"");
     // Then: it ends that connection, and nothing else.
-    s.next_is_served_on_a_new_connection().await;
+    fixture.next_is_served_on_a_new_connection().await;
 }
 
 /// The rest of a response that was longer than its length ends its connection, and answers nothing.
 #[tokio::test]
 async fn excess_response_bytes_answer_no_request() {
-    let s = Fixture::new(settings()).await;
-    let (mut connection, _) = s.kept_connection().await;
+    let fixture = Fixture::new(settings()).await;
+    let (mut connection, _) = fixture.kept_connection().await;
     // It looks like a whole response.
     connection.write(response(200, "", "rest")).await;
     assert_eq!(connection.read_to_close().await, b"");
-    s.next_is_served_on_a_new_connection().await;
+    fixture.next_is_served_on_a_new_connection().await;
 }
 
 /// A body that its client aborts is never complete at a backend, and its connection carries nothing more.
 #[tokio::test]
 async fn aborted_upload_closes_its_backend_connection() {
-    let s = Fixture::new(settings()).await;
+    let fixture = Fixture::new(settings()).await;
     // Given: the first half of an upload in chunks on a kept connection.
-    let (mut connection, _) = s.kept_connection().await;
-    let mut client = s.client().await;
+    let (mut connection, _) = fixture.kept_connection().await;
+    let mut client = fixture.client().await;
     let chunk = format!("{:x}\r\n{}\r\n", STREAMED_BYTES, "u".repeat(STREAMED_BYTES));
-    client.write(call_with("POST /once", "aborted", "Transfer-Encoding: chunked") + &chunk).await;
+    client.write(request_head_with("POST /once", "aborted", "Transfer-Encoding: chunked") + &chunk).await;
     assert!(connection.read_head().await.expect("a request").contains("req-id: aborted"));
     // When: its client breaks it off.
     client.write("zz\r\n").await;
     // Then: the backend sees no end of it, and the next request goes elsewhere.
     assert_eq!(client.read_answer().await.expect("an answer").0, 400);
     assert!(!connection.read_to_close().await.ends_with(b"0\r\n\r\n"));
-    s.next_is_served_on_a_new_connection().await;
+    fixture.next_is_served_on_a_new_connection().await;
 }
 
 /// Bytes behind a request whose answer is the last one on its connection are no request, however whole they look.
 #[tokio::test]
 async fn request_after_the_last_response_does_not_run() {
-    let s = Fixture::new(settings()).await;
-    let mut client = s.client().await;
-    let last = call_with("POST /once", "last", "Connection: close");
+    let fixture = Fixture::new(settings()).await;
+    let mut client = fixture.client().await;
+    let last = request_head_with("POST /once", "last", "Connection: close");
     client.write(last + &request_head("POST /once", "behind")).await;
-    let mut connection = s.backend.accept().await;
+    let mut connection = fixture.backend.accept().await;
     assert_eq!(connection.read_request().await.expect("a request").0, "last");
     connection.write(response(200, "", "last")).await;
     assert_eq!(client.read_answer().await, Some((200, "last".into())));
     assert_eq!(client.read_to_close().await, b"");
     // The next request on the kept connection is another client's.
-    let mut other = s.client().await;
+    let mut other = fixture.client().await;
     other.write(request_head("POST /once", "other")).await;
     assert_eq!(connection.read_request().await.expect("a request").0, "other");
     connection.write(response(200, "", "other")).await;
@@ -509,17 +510,18 @@
 /// body that looks like a request.
 #[tokio::test]
 async fn requests_pipelined_after_a_rejection_get_own_answers() {
-    let s = Fixture::new(settings()).await;
-    let mut client = s.client().await;
+    let fixture = Fixture::new(settings()).await;
+    let mut client = fixture.client().await;
     let hidden = request_head("POST /once", "hidden");
     let rejected =
-        call_with("POST /unknown", "rejected", &format!("Content-Length: {}", hidden.len())) + &hidden;
-    let texts = request_head("GET /look", "one")
+        request_head_with("POST /unknown", "rejected", &format!("Content-Length: {}", hidden.len()))
+            + &hidden;
+    let pipelined = request_head("GET /look", "one")
         + &request_head("GET /look", "two")
         + &rejected
         + &request_head("POST /once", "three");
-    client.write(texts).await;
-    let mut connection = s.backend.accept().await;
+    client.write(pipelined).await;
+    let mut connection = fixture.backend.accept().await;
     for id in ["one", "two"] {
         assert_eq!(connection.read_request().await.expect("a request").0, id);
         connection.write(response(200, "", id)).await;
--- a/crates/proxy/tests/support/backend.rs
+++ b/crates/proxy/tests/support/backend.rs
@@ -20,7 +20,7 @@
 /// What backends have in common: the orders for the next requests, wherever they go, and what came.
 #[derive(Default)]
 pub struct BackendScript {
-    next: Mutex<VecDeque<BackendBehavior>>,
+    behaviors: Mutex<VecDeque<BackendBehavior>>,
     pub seen: watch::Sender<Vec<(&'static str, Parts, Bytes)>>,
     /// Requests that ended before their backend answered.
     pub abandoned: watch::Sender<usize>,
@@ -29,8 +29,8 @@
 }
 
 impl BackendScript {
-    pub fn enqueue(&self, script: impl IntoIterator<Item = BackendBehavior>) {
-        self.next.lock().expect("sound").extend(script);
+    pub fn enqueue(&self, behaviors: impl IntoIterator<Item = BackendBehavior>) {
+        self.behaviors.lock().expect("sound").extend(behaviors);
     }
     /// Waits until so many requests have come.
     pub async fn wait_for_requests(&self, n: usize) {
@@ -84,15 +84,16 @@
         let addr = listener.local_addr().expect("bound");
         let (connections, script) = (Arc::<AtomicUsize>::default(), script.clone());
         let (close, open) = (watch::Sender::new(()), Arc::new(watch::Sender::new(0)));
-        let (count, closing, alive) = (connections.clone(), close.clone(), open.clone());
+        let (count, closing, open_count) = (connections.clone(), close.clone(), open.clone());
         tokio::spawn(async move {
             loop {
                 let (stream, _) = listener.accept().await.expect("a connection");
                 count.fetch_add(1, SeqCst);
-                alive.send_modify(|n| *n += 1);
-                let (script, alive, mut closing) = (script.clone(), alive.clone(), closing.subscribe());
+                open_count.send_modify(|n| *n += 1);
+                let (script, open_count, mut closing) =
+                    (script.clone(), open_count.clone(), closing.subscribe());
                 tokio::spawn(async move {
-                    let service = service_fn(|request| answer(name, &script, request));
+                    let service = service_fn(|request| respond(name, &script, request));
                     let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
                     let mut connection = pin!(connection);
                     let ended = tokio::select! {
@@ -103,7 +104,7 @@
                         connection.as_mut().graceful_shutdown();
                         let _ = connection.await;
                     }
-                    alive.send_modify(|n| *n -= 1);
+                    open_count.send_modify(|n| *n -= 1);
                 });
             }
         });
@@ -138,29 +139,30 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("bound");
     let (count, open) = (Arc::new(AtomicUsize::new(0)), Arc::new(watch::Sender::new(0)));
-    let (requests, alive, bytes) = (count.clone(), open.clone(), Arc::new(bytes));
+    let (requests, open_count, bytes) = (count.clone(), open.clone(), Arc::new(bytes));
     tokio::spawn(async move {
         loop {
             let (mut stream, _) = listener.accept().await.expect("a connection");
-            let (count, alive, bytes) = (count.clone(), alive.clone(), bytes.clone());
+            let (count, open_count, bytes) = (count.clone(), open_count.clone(), bytes.clone());
             tokio::spawn(async move {
-                alive.send_modify(|n| *n += 1);
+                open_count.send_modify(|n| *n += 1);
                 let mut seen = Vec::new();
                 while stream.read_buf(&mut seen).await.is_ok_and(|n| n > 0) {
                     // Requests of these tests have no body.
                     if seen.ends_with(b"\r\n\r\n") {
                         seen.clear();
-                        let plain =
+                        let default_response =
                             || [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood".to_vec(), Vec::new()];
-                        let [one, two] = bytes(count.fetch_add(1, SeqCst)).unwrap_or_else(plain);
-                        let _ = stream.write_all(&one).await;
-                        if !two.is_empty() {
+                        let [first, second] =
+                            bytes(count.fetch_add(1, SeqCst)).unwrap_or_else(default_response);
+                        let _ = stream.write_all(&first).await;
+                        if !second.is_empty() {
                             tokio::time::sleep(Duration::from_millis(50)).await;
-                            let _ = stream.write_all(&two).await;
+                            let _ = stream.write_all(&second).await;
                         }
                     }
                 }
-                alive.send_modify(|n| *n -= 1);
+                open_count.send_modify(|n| *n -= 1);
             });
         }
     });
@@ -179,16 +181,20 @@
            "health": health, "share": 1.0, "born_ms": 0})
 }
 
-type Reply = Response<BoxBody<Bytes, io::Error>>;
+type BackendResponse = Response<BoxBody<Bytes, io::Error>>;
 
-async fn answer(name: &'static str, script: &BackendScript, request: Request<Incoming>) -> io::Result<Reply> {
+async fn respond(
+    name: &'static str,
+    script: &BackendScript,
+    request: Request<Incoming>,
+) -> io::Result<BackendResponse> {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let order = script.next.lock().expect("sound").pop_front().unwrap_or(BackendBehavior::Serve);
+    let behavior = script.behaviors.lock().expect("sound").pop_front().unwrap_or(BackendBehavior::Serve);
     script.seen.send_modify(|s| s.push((name, head, body)));
     let text = |text: &'static str| Full::new(Bytes::from(text)).map_err(|e| match e {}).boxed();
-    let mut reply = Response::new(text(name));
-    match order {
+    let mut response = Response::new(text(name));
+    match behavior {
         BackendBehavior::Serve => {
             let service_time = Duration::from_millis(script.service_time_ms.load(SeqCst) as u64);
             if !service_time.is_zero() {
@@ -196,24 +202,24 @@
             }
         }
         BackendBehavior::Answer(status) => {
-            *reply.status_mut() = StatusCode::from_u16(status).expect("a status")
+            *response.status_mut() = StatusCode::from_u16(status).expect("a status")
         }
         BackendBehavior::Decline(status) => {
-            *reply.status_mut() = StatusCode::from_u16(status).expect("a status");
-            reply.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
+            *response.status_mut() = StatusCode::from_u16(status).expect("a status");
+            response.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
         }
         BackendBehavior::CloseWithoutResponse => return Err(io::Error::other("told to")),
-        BackendBehavior::TruncateResponse => reply = Response::new(BrokenBody(false).boxed()),
+        BackendBehavior::TruncateResponse => response = Response::new(BrokenBody(false).boxed()),
         BackendBehavior::Hold(release) => {
-            let mut left = RequestGuard(script, true);
+            let mut guard = RequestGuard(script, true);
             release.notified().await;
-            left.1 = false;
+            guard.1 = false;
         }
         BackendBehavior::HoldThenDecline(release) => {
             release.notified().await;
-            *reply.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-            reply.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
+            *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+            response.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
         }
     }
-    Ok(reply)
+    Ok(response)
 }
--- a/crates/proxy/tests/support/discovery.rs
+++ b/crates/proxy/tests/support/discovery.rs
@@ -16,12 +16,12 @@
 pub struct Discovery {
     addr: SocketAddr,
     list: Arc<watch::Sender<(u64, Vec<Value>)>>,
-    held: Arc<watch::Sender<u64>>,
+    held_version: Arc<watch::Sender<u64>>,
     /// How often the whole list was asked for, as a watch does at its beginning.
     pub full_list_requests: Arc<AtomicUsize>,
     /// Connections that are open now.
     pub open_connections: Arc<watch::Sender<usize>>,
-    agent: Arc<watch::Sender<DiscoveryBehavior>>,
+    behavior: Arc<watch::Sender<DiscoveryBehavior>>,
 }
 
 impl Discovery {
@@ -29,27 +29,28 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
         let list = Arc::new(watch::Sender::new((1, hosts)));
-        let held = Arc::new(watch::Sender::new(0));
-        let open = Arc::new(watch::Sender::new(0));
-        let begun = Arc::<AtomicUsize>::default();
-        let agent = Arc::new(watch::Sender::new(DiscoveryBehavior::Up));
-        let (lists, holds, alive, states) = (list.clone(), held.clone(), open.clone(), agent.clone());
-        let beginnings = begun.clone();
+        let held_version = Arc::new(watch::Sender::new(0));
+        let open_connections = Arc::new(watch::Sender::new(0));
+        let full_list_requests = Arc::<AtomicUsize>::default();
+        let behavior = Arc::new(watch::Sender::new(DiscoveryBehavior::Up));
+        let (lists, held_versions, connections, behaviors) =
+            (list.clone(), held_version.clone(), open_connections.clone(), behavior.clone());
+        let full_list_count = full_list_requests.clone();
         tokio::spawn(async move {
             let mut listener = Some(listener);
-            let mut state = states.subscribe();
+            let mut behavior = behaviors.subscribe();
             loop {
-                let taken = async {
+                let accepted = async {
                     match &listener {
                         Some(listener) => listener.accept().await.expect("a connection").0,
                         None => std::future::pending().await,
                     }
                 };
                 let stream = tokio::select! {
-                    stream = taken => stream,
-                    changed = state.changed() => {
+                    stream = accepted => stream,
+                    changed = behavior.changed() => {
                         changed.expect("open");
-                        if *state.borrow() == DiscoveryBehavior::Refusing {
+                        if *behavior.borrow() == DiscoveryBehavior::Refusing {
                             listener = None;
                         } else if listener.is_none() {
                             listener = Some(TcpListener::bind(addr).await.expect("its port"));
@@ -57,54 +58,55 @@
                         continue;
                     }
                 };
-                let (lists, holds, alive) = (lists.clone(), holds.clone(), alive.clone());
-                let beginnings = beginnings.clone();
-                let (answering, mut refusing) = (states.clone(), states.subscribe());
+                let (lists, held_versions, connections) =
+                    (lists.clone(), held_versions.clone(), connections.clone());
+                let full_list_count = full_list_count.clone();
+                let (behaviors, mut refusing) = (behaviors.clone(), behaviors.subscribe());
                 let service = service_fn(move |request: Request<Incoming>| {
-                    let (mut list, holds, mut state) =
-                        (lists.subscribe(), holds.clone(), answering.subscribe());
+                    let (mut list, held_versions, mut behavior) =
+                        (lists.subscribe(), held_versions.clone(), behaviors.subscribe());
                     if request.uri().query().is_none() {
-                        beginnings.fetch_add(1, SeqCst);
+                        full_list_count.fetch_add(1, SeqCst);
                     }
                     async move {
                         let query = request.uri().query().unwrap_or_default();
-                        let told = |name: &str| {
+                        let query_number = |name: &str| {
                             query.split('&').find_map(|p| p.strip_prefix(name)?.parse::<u64>().ok())
                         };
-                        let after = told("after=");
+                        let after = query_number("after=");
                         if let Some(after) = after {
-                            holds.send_replace(after);
-                            let wait = Duration::from_millis(told("wait_ms=").unwrap_or_default());
+                            held_versions.send_replace(after);
+                            let wait = Duration::from_millis(query_number("wait_ms=").unwrap_or_default());
                             let _ = timeout(wait, list.wait_for(|(seq, _)| *seq > after)).await;
                         }
-                        state
-                            .wait_for(|state| *state == DiscoveryBehavior::Up)
+                        behavior
+                            .wait_for(|behavior| *behavior == DiscoveryBehavior::Up)
                             .await
                             .map_err(io::Error::other)?;
                         let (seq, hosts) = list.borrow().clone();
-                        let news = after.is_none_or(|after| seq > after);
-                        let hosts = if news { hosts } else { Vec::new() };
-                        let text = json!({"seq": seq, "whole": news, "hosts": hosts}).to_string();
+                        let is_newer = after.is_none_or(|after| seq > after);
+                        let hosts = if is_newer { hosts } else { Vec::new() };
+                        let text = json!({"seq": seq, "whole": is_newer, "hosts": hosts}).to_string();
                         Ok::<_, io::Error>(Response::new(Full::new(Bytes::from(text))))
                     }
                 });
                 tokio::spawn(async move {
-                    alive.send_modify(|n| *n += 1);
+                    connections.send_modify(|n| *n += 1);
                     tokio::select! {
                         _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service) => {}
-                        _ = refusing.wait_for(|state| *state == DiscoveryBehavior::Refusing) => {}
+                        _ = refusing.wait_for(|behavior| *behavior == DiscoveryBehavior::Refusing) => {}
                     }
-                    alive.send_modify(|n| *n -= 1);
+                    connections.send_modify(|n| *n -= 1);
                 });
             }
         });
-        Discovery { addr, list, held, full_list_requests: begun, open_connections: open, agent }
+        Discovery { addr, list, held_version, full_list_requests, open_connections, behavior }
     }
 
     /// From now on the agent answers, or not. Where it refuses, its connections have ended.
-    pub async fn set_behavior(&self, agent: DiscoveryBehavior) {
-        self.agent.send_replace(agent);
-        if agent == DiscoveryBehavior::Refusing {
+    pub async fn set_behavior(&self, behavior: DiscoveryBehavior) {
+        self.behavior.send_replace(behavior);
+        if behavior == DiscoveryBehavior::Refusing {
             in_time(self.open_connections.subscribe().wait_for(|open| *open == 0)).await.expect("open");
         }
     }
@@ -124,7 +126,7 @@
     /// Waits until the proxy holds the present list.
     pub async fn wait_until_applied(&self) {
         let now = self.list.borrow().0;
-        in_time(self.held.subscribe().wait_for(|held| *held >= now)).await.expect("open");
+        in_time(self.held_version.subscribe().wait_for(|held| *held >= now)).await.expect("open");
     }
 
     /// Changes the list and waits until the proxy holds it.
--- a/crates/proxy/tests/support/failing_calls.c
+++ b/crates/proxy/tests/support/failing_calls.c
@@ -10,7 +10,7 @@
 #include <sys/socket.h>
 
 /* The error that a call is to fail with; 0 for none. */
-static int error_of(const char *call) {
+static int errno_for(const char *call) {
     const char *path = getenv("FAILING_CALLS");
     FILE *file = path ? fopen(path, "r") : NULL;
     char name[32];
@@ -38,7 +38,7 @@
     va_start(arguments, flags);
     mode_t mode = va_arg(arguments, mode_t);
     va_end(arguments);
-    int error = is_configuration(path) ? error_of("open") : 0;
+    int error = is_configuration(path) ? errno_for("open") : 0;
     if (error != 0) {
         errno = error;
         return -1;
@@ -52,7 +52,7 @@
 /* Binds a socket, or fails. */
 int bind(int socket, const struct sockaddr *address, socklen_t length) {
     static int (*next)(int, const struct sockaddr *, socklen_t);
-    int error = error_of("bind");
+    int error = errno_for("bind");
     if (error != 0) {
         errno = error;
         return -1;
--- a/crates/proxy/tests/support/proxy.rs
+++ b/crates/proxy/tests/support/proxy.rs
@@ -65,13 +65,13 @@
         proxy
     }
 
-    async fn kill(&self, signal: &str) {
-        kill(&self.child, signal).await;
+    async fn send_signal(&self, signal: &str) {
+        send_signal(&self.child, signal).await;
     }
 
     /// Stops the program where it is until it is let go on: what happens meanwhile it finds all at once.
     pub async fn pause(&self) {
-        self.kill("-STOP").await;
+        self.send_signal("-STOP").await;
         let path = format!("/proc/{}/stat", self.child.id().expect("it runs"));
         // One that has ended never stops.
         in_time(async {
@@ -83,41 +83,41 @@
     }
 
     pub async fn resume_process(&self) {
-        self.kill("-CONT").await;
+        self.send_signal("-CONT").await;
     }
 
     /// Sends SIGTERM to a program whose log nobody reads.
     pub async fn terminate_without_log(&self) {
-        self.kill("-TERM").await;
+        self.send_signal("-TERM").await;
     }
 
     /// Sends a signal and waits until the program's log says so.
-    async fn signal(&mut self, signal: &str, says: &str) {
-        self.kill(signal).await;
+    async fn signal_and_wait_for_log(&mut self, signal: &str, line_part: &str) {
+        self.send_signal(signal).await;
         let log = self.log.as_mut().expect("it is read");
-        while !in_time(log.next_line()).await.expect("readable").expect("it goes on").contains(says) {}
+        while !in_time(log.next_line()).await.expect("readable").expect("it goes on").contains(line_part) {}
     }
 
     /// Sends SIGTERM and waits until the program has taken notice.
     pub async fn terminate(&mut self) {
-        self.signal("-TERM", "stopping").await;
+        self.signal_and_wait_for_log("-TERM", "stopping").await;
     }
 
     /// Replaces the configuration, sends SIGHUP, and waits until the log has a line that says what came of it.
-    pub async fn reload(&mut self, config: &str, says: &str) {
+    pub async fn reload(&mut self, config: &str, line_part: &str) {
         std::fs::write(&self.config, config).expect("the folder for tests takes a file");
-        self.signal("-HUP", says).await;
+        self.signal_and_wait_for_log("-HUP", line_part).await;
     }
 
     /// Sends SIGHUP whatever the file holds, and waits until the log has a line that says what came of it.
-    pub async fn reload_without_writing(&mut self, says: &str) {
-        self.signal("-HUP", says).await;
+    pub async fn reload_without_writing(&mut self, line_part: &str) {
+        self.signal_and_wait_for_log("-HUP", line_part).await;
     }
 
     /// Replaces the configuration, sends SIGHUP, and gives the log's next line about configurations.
     pub async fn reload_line(&mut self, config: &str) -> String {
         std::fs::write(&self.config, config).expect("the folder for tests takes a file");
-        self.kill("-HUP").await;
+        self.send_signal("-HUP").await;
         let log = self.log.as_mut().expect("it is read");
         loop {
             let line = in_time(log.next_line()).await.expect("readable").expect("it goes on");
@@ -178,7 +178,7 @@
 
 /// The program before it listens.
 pub struct StartingProxy {
-    folder: std::path::PathBuf,
+    temp_dir: std::path::PathBuf,
     config: std::path::PathBuf,
     child: Child,
     log: tokio::io::Lines<BufReader<ChildStderr>>,
@@ -188,35 +188,40 @@
     /// Starts the program by a shell command in which it is `$0`.
     pub fn spawn(config: &Value, command: &str) -> Self {
         let path = write_config(&config.to_string());
-        let folder = path.with_extension("tmp");
+        let temp_dir = path.with_extension("tmp");
         // One of an earlier test run may be left.
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("the folder for tests takes a folder");
-        StartingProxy::spawn_in(config, command, path, folder)
+        let _ = std::fs::remove_dir_all(&temp_dir);
+        std::fs::create_dir_all(&temp_dir).expect("the folder for tests takes a folder");
+        StartingProxy::spawn_in(config, command, path, temp_dir)
     }
 
-    fn spawn_in(config: &Value, command: &str, path: std::path::PathBuf, folder: std::path::PathBuf) -> Self {
+    fn spawn_in(
+        config: &Value,
+        command: &str,
+        path: std::path::PathBuf,
+        temp_dir: std::path::PathBuf,
+    ) -> Self {
         let mut child = Command::new("/bin/sh")
             .args(["-c", command, env!("CARGO_BIN_EXE_foldhitch-proxy")])
             .env_remove("RELAY_LISTEN")
             // As in service: at the start the variable names the address too.
             .env("RELAY_DISCOVERY", config["discovery"].as_str().expect("text"))
             .env("RELAY_CONFIG", &path)
-            .env("TMPDIR", &folder)
+            .env("TMPDIR", &temp_dir)
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
             .expect("it starts");
         let log = BufReader::new(child.stderr.take().expect("piped")).lines();
-        StartingProxy { folder, config: path, child, log }
+        StartingProxy { temp_dir, config: path, child, log }
     }
 
     /// Waits until the log has such a line, as it must before the program listens.
-    pub async fn wait_for_log_line(&mut self, says: &str) {
+    pub async fn wait_for_log_line(&mut self, line_part: &str) {
         loop {
             let line = in_time(self.log.next_line()).await.expect("readable").expect("it goes on");
-            assert!(!line.contains("listening on "), "{says}: {line}");
-            if line.contains(says) {
+            assert!(!line.contains("listening on "), "{line_part}: {line}");
+            if line.contains(line_part) {
                 return;
             }
         }
@@ -224,12 +229,12 @@
 
     /// Sends a signal.
     pub async fn send_signal(&self, signal: &str) {
-        kill(&self.child, signal).await;
+        send_signal(&self.child, signal).await;
     }
 
     /// The proxy, once it listens.
     pub async fn wait_until_listening(self) -> Proxy {
-        let StartingProxy { folder, config, child, mut log } = self;
+        let StartingProxy { temp_dir, config, child, mut log } = self;
         let mut admin = None;
         let addr = loop {
             let line = in_time(log.next_line()).await.expect("readable").expect("it goes on");
@@ -240,11 +245,11 @@
                 break addr.parse().expect("an address");
             }
         };
-        Proxy { addr, admin, temp_dir: folder, config, child, log: Some(log) }
+        Proxy { addr, admin, temp_dir, config, child, log: Some(log) }
     }
 }
 
-async fn kill(child: &Child, signal: &str) {
+async fn send_signal(child: &Child, signal: &str) {
     let id = child.id().expect("it runs").to_string();
     let sent = in_time(Command::new("kill").args([signal, &id]).status()).await;
     assert!(sent.expect("kill runs").success());
--- a/crates/proxy/tests/support/raw_peers.rs
+++ b/crates/proxy/tests/support/raw_peers.rs
@@ -117,8 +117,8 @@
     })
     .await;
     // By the time that others have had answers, what was read before them has had its effect.
-    const OTHERS: usize = 10;
-    for _ in 0..OTHERS {
+    const HEALTH_CHECKS: usize = 10;
+    for _ in 0..HEALTH_CHECKS {
         let mut other = RawConnection::connect(proxy.addr).await;
         other.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n").await;
         other.read_answer().await.expect("an answer");
--- a/crates/proxy/tests/support/sockets.rs
+++ b/crates/proxy/tests/support/sockets.rs
@@ -8,12 +8,12 @@
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(1).expect("it listens");
     let addr = listener.local_addr().expect("bound");
-    let mut held = Vec::new();
+    let mut backlog = Vec::new();
     while let Ok(stream) = timeout(Duration::from_millis(300), TcpStream::connect(addr)).await {
-        held.push(stream.expect("a connection"));
-        assert!(held.len() < 100, "the queue fills up");
+        backlog.push(stream.expect("a connection"));
+        assert!(backlog.len() < 100, "the queue fills up");
     }
-    (listener, held)
+    (listener, backlog)
 }
 
 /// A port that is taken, and on which nobody listens yet: connects are refused while the socket is held.
@@ -28,11 +28,11 @@
 pub async fn wait_for_connect_attempt(addr: SocketAddr) {
     const SYN_SENT: &str = "02";
     let port = format!(":{:04X}", addr.port());
-    let waits = |line: &str| {
+    let is_connecting = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields.get(2).is_some_and(|remote| remote.ends_with(&port)) && fields.get(3) == Some(&SYN_SENT)
     };
-    while !std::fs::read_to_string("/proc/net/tcp").expect("a table").lines().any(waits) {
+    while !std::fs::read_to_string("/proc/net/tcp").expect("a table").lines().any(is_connecting) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
