--- a/crates/proxy/tests/discovery_notification.rs
+++ b/crates/proxy/tests/discovery_notification.rs
@@ -94,7 +94,7 @@
         assert_eq!(proxy.call("look").await.0, 200);
     }
     assert!(script.requests_at("a") > 0, "what it knew is used");
-    let listener = socket.listen(16).expect("it listens");
+    let listener = socket.listen(16).expect("listen");
     let mut calls = start_agent(listener, 3, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
     for _ in 0..4 {
         within_deadline(calls.recv()).await.expect("it calls");
@@ -119,7 +119,7 @@
     config["discovery"] = address.to_string().into();
     proxy.reload(&config.to_string(), "configuration applied").await;
     within_deadline(wait_for_log_line(&mut proxy, "refused")).await;
-    let listener = socket.listen(16).expect("it listens");
+    let listener = socket.listen(16).expect("listen");
     let mut calls = start_agent(listener, 0, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
     within_deadline(calls.recv()).await.expect("it calls");
     wait_until_list_is_held(&mut calls).await;
--- a/crates/proxy/tests/support/backend.rs
+++ b/crates/proxy/tests/support/backend.rs
@@ -1,46 +1,56 @@
-//! Backends that do with each request what a script says.
+//! Backends whose behavior for each request is scripted by the test.
 
 use super::*;
 
-/// What a backend does with a request.
+/// The behavior of a backend for one request.
 pub enum BackendBehavior {
+    /// Responds with status 200 and the backend's name as the body.
     Serve,
+    /// Responds with this status.
     Answer(u16),
+    /// Responds with this status and the `Srv-Declined` header.
     Decline(u16),
-    /// Ends the connection with no answer.
+    /// Closes the connection without a response.
     CloseWithoutResponse,
-    /// Ends it in the middle of an answer.
+    /// Closes the connection in the middle of a response.
     TruncateResponse,
-    /// Serves once it is told to.
+    /// Serves the request once notified.
     Hold(Arc<Notify>),
-    /// Declines once it is told to.
+    /// Declines the request with status 503 once notified.
     HoldThenDecline(Arc<Notify>),
 }
 
-/// What backends have in common: the orders for the next requests, wherever they go, and what came.
+/// The state that the backends of a test share: the behaviors for the next requests, whichever backend
+/// receives them, and the requests received so far.
 #[derive(Default)]
 pub struct BackendScript {
     behaviors: Mutex<VecDeque<BackendBehavior>>,
+    /// The received requests: backend name, head and body.
     pub seen: watch::Sender<Vec<(&'static str, Parts, Bytes)>>,
-    /// Requests that ended before their backend answered.
+    /// The number of held requests that were cancelled before their backend responded.
     pub abandoned: watch::Sender<usize>,
-    /// How long a backend takes for a request without an order of its own, in milliseconds.
+    /// The time to serve a request that has no scripted behavior, in milliseconds.
     pub service_time_ms: AtomicUsize,
 }
 
 impl BackendScript {
+    /// Appends behaviors for the next requests.
     pub fn enqueue(&self, behaviors: impl IntoIterator<Item = BackendBehavior>) {
-        self.behaviors.lock().expect("sound").extend(behaviors);
+        self.behaviors.lock().expect("not poisoned").extend(behaviors);
     }
-    /// Waits until so many requests have come.
+
+    /// Waits until at least `n` requests have been received.
     pub async fn wait_for_requests(&self, n: usize) {
         in_time(self.seen.subscribe().wait_for(|s| s.len() >= n)).await.expect("open");
     }
+
+    /// Returns the number of requests that the named backend has received.
     pub fn requests_at(&self, name: &str) -> usize {
         self.seen.borrow().iter().filter(|(n, ..)| *n == name).count()
     }
 }
 
+/// Counts a request as abandoned if it is dropped while the flag is set.
 struct RequestGuard<'a>(&'a BackendScript, bool);
 
 impl Drop for RequestGuard<'_> {
@@ -51,6 +61,7 @@
     }
 }
 
+/// A body that fails after its first frame.
 struct BrokenBody(bool);
 
 impl Body for BrokenBody {
@@ -65,29 +76,32 @@
     }
 }
 
+/// An HTTP backend on a loopback port.
 pub struct Backend {
     pub name: &'static str,
     pub addr: SocketAddr,
     connections: Arc<AtomicUsize>,
     close: watch::Sender<()>,
-    /// Connections that are open now.
+    /// The number of open connections.
     pub open_connections: Arc<watch::Sender<usize>>,
 }
 
 impl Backend {
+    /// Starts a backend on a free port.
     pub async fn start(name: &'static str, script: &Arc<BackendScript>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
         Backend::on(name, listener, script)
     }
 
+    /// Starts a backend on a listener.
     pub fn on(name: &'static str, listener: TcpListener, script: &Arc<BackendScript>) -> Self {
-        let addr = listener.local_addr().expect("bound");
+        let addr = listener.local_addr().expect("a local address");
         let (connections, script) = (Arc::<AtomicUsize>::default(), script.clone());
         let (close, open) = (watch::Sender::new(()), Arc::new(watch::Sender::new(0)));
         let (count, closing, open_count) = (connections.clone(), close.clone(), open.clone());
         tokio::spawn(async move {
             loop {
-                let (stream, _) = listener.accept().await.expect("a connection");
+                let (stream, _) = listener.accept().await.expect("accept a connection");
                 count.fetch_add(1, SeqCst);
                 open_count.send_modify(|n| *n += 1);
                 let (script, open_count, mut closing) =
@@ -111,44 +125,47 @@
         Backend { name, addr, connections, close, open_connections: open }
     }
 
-    /// How many connections it has ever had.
+    /// Returns the number of connections accepted since the start.
     pub fn total_connections(&self) -> usize {
         self.connections.load(SeqCst)
     }
 
-    /// Closes all its connections, which are idle, and waits until they are.
+    /// Closes all connections, which must be idle, and waits until they are closed.
     pub async fn close_idle_connections(&self) {
         self.close.send_replace(());
         self.wait_until_all_closed().await;
     }
 
+    /// Waits until no connection is open.
     pub async fn wait_until_all_closed(&self) {
         in_time(self.open_connections.subscribe().wait_for(|n| *n == 0)).await.expect("open");
     }
 
+    /// Returns the backend's entry in an endpoint list.
     pub fn endpoint(&self, health: &str) -> Value {
         endpoint(self.name, self.addr, health)
     }
 }
 
-/// A backend that answers with bytes as they are: for the n-th request, counted over all its connections, those
-/// that `bytes` gives for it, the second part after a moment. It closes nothing, and serves where nothing is given.
+/// Starts a backend that responds with prepared bytes. `bytes` returns the response to the n-th request,
+/// counted over all connections; its second part is written after a pause of 50 ms. Where it returns `None`,
+/// the response has status 200 and a short body. The backend closes no connection.
 pub async fn canned_backend(
     bytes: impl Fn(usize) -> Option<[Vec<u8>; 2]> + Send + Sync + 'static,
 ) -> CannedBackend {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+    let addr = listener.local_addr().expect("a local address");
     let (count, open) = (Arc::new(AtomicUsize::new(0)), Arc::new(watch::Sender::new(0)));
     let (requests, open_count, bytes) = (count.clone(), open.clone(), Arc::new(bytes));
     tokio::spawn(async move {
         loop {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("accept a connection");
             let (count, open_count, bytes) = (count.clone(), open_count.clone(), bytes.clone());
             tokio::spawn(async move {
                 open_count.send_modify(|n| *n += 1);
                 let mut seen = Vec::new();
                 while stream.read_buf(&mut seen).await.is_ok_and(|n| n > 0) {
-                    // Requests of these tests have no body.
+                    // The requests of these tests have no body, so that a head is a complete request.
                     if seen.ends_with(b"\r\n\r\n") {
                         seen.clear();
                         let default_response =
@@ -169,13 +186,16 @@
     CannedBackend { addr, requests, open_connections: open }
 }
 
+/// A backend started by [`canned_backend`].
 pub struct CannedBackend {
     pub addr: SocketAddr,
+    /// The number of requests received.
     pub requests: Arc<AtomicUsize>,
-    /// Connections that are open now.
+    /// The number of open connections.
     pub open_connections: Arc<watch::Sender<usize>>,
 }
 
+/// Returns an entry of an endpoint list.
 pub fn endpoint(host: &str, addr: SocketAddr, health: &str) -> Value {
     json!({"host": host, "dial": addr.to_string(), "site": "a", "class": "m", "block": 1,
            "health": health, "share": 1.0, "born_ms": 0})
@@ -183,6 +203,7 @@
 
 type BackendResponse = Response<BoxBody<Bytes, io::Error>>;
 
+/// Records a request and responds with the next scripted behavior.
 async fn respond(
     name: &'static str,
     script: &BackendScript,
@@ -190,7 +211,8 @@
 ) -> io::Result<BackendResponse> {
     let (head, body) = request.into_parts();
     let body = body.collect().await.map_err(io::Error::other)?.to_bytes();
-    let behavior = script.behaviors.lock().expect("sound").pop_front().unwrap_or(BackendBehavior::Serve);
+    let behavior =
+        script.behaviors.lock().expect("not poisoned").pop_front().unwrap_or(BackendBehavior::Serve);
     script.seen.send_modify(|s| s.push((name, head, body)));
     let text = |text: &'static str| Full::new(Bytes::from(text)).map_err(|e| match e {}).boxed();
     let mut response = Response::new(text(name));
@@ -208,7 +230,7 @@
             *response.status_mut() = StatusCode::from_u16(status).expect("a status");
             response.headers_mut().insert("srv-declined", "1".parse().expect("a value"));
         }
-        BackendBehavior::CloseWithoutResponse => return Err(io::Error::other("told to")),
+        BackendBehavior::CloseWithoutResponse => return Err(io::Error::other("scripted close")),
         BackendBehavior::TruncateResponse => response = Response::new(BrokenBody(false).boxed()),
         BackendBehavior::Hold(release) => {
             let mut guard = RequestGuard(script, true);
--- a/crates/proxy/tests/support/discovery.rs
+++ b/crates/proxy/tests/support/discovery.rs
@@ -1,33 +1,37 @@
-//! A stand-in for discovery's agent, which publishes lists and can fail in several ways.
+//! A discovery agent that publishes the endpoint lists of a test and can fail in several ways.
 
 use super::*;
 
-/// Whether discovery's agent answers.
+/// The behavior of the discovery agent.
 #[derive(Clone, Copy, PartialEq)]
 pub enum DiscoveryBehavior {
+    /// Answers its calls.
     Up,
-    /// Its connections have ended, and it takes no new ones.
+    /// Has closed its connections and refuses new ones.
     Refusing,
-    /// It takes connections and calls, and answers none.
+    /// Accepts connections and calls, but answers none.
     Silent,
 }
 
-/// Discovery with a list that tests change, and the version that the proxy is known to hold.
+/// A discovery agent whose list the test changes, and the list version that the proxy is known to hold.
 pub struct Discovery {
     addr: SocketAddr,
+    /// The version and the entries of the current list.
     list: Arc<watch::Sender<(u64, Vec<Value>)>>,
+    /// The last version that the proxy reported in a poll.
     held_version: Arc<watch::Sender<u64>>,
-    /// How often the whole list was asked for, as a watch does at its beginning.
+    /// The number of requests for the full list; a watch starts with one.
     pub full_list_requests: Arc<AtomicUsize>,
-    /// Connections that are open now.
+    /// The number of open connections.
     pub open_connections: Arc<watch::Sender<usize>>,
     behavior: Arc<watch::Sender<DiscoveryBehavior>>,
 }
 
 impl Discovery {
+    /// Starts an agent with a first list.
     pub async fn start(hosts: Vec<Value>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let addr = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+        let addr = listener.local_addr().expect("a local address");
         let list = Arc::new(watch::Sender::new((1, hosts)));
         let held_version = Arc::new(watch::Sender::new(0));
         let open_connections = Arc::new(watch::Sender::new(0));
@@ -42,7 +46,7 @@
             loop {
                 let accepted = async {
                     match &listener {
-                        Some(listener) => listener.accept().await.expect("a connection").0,
+                        Some(listener) => listener.accept().await.expect("accept a connection").0,
                         None => std::future::pending().await,
                     }
                 };
@@ -53,7 +57,7 @@
                         if *behavior.borrow() == DiscoveryBehavior::Refusing {
                             listener = None;
                         } else if listener.is_none() {
-                            listener = Some(TcpListener::bind(addr).await.expect("its port"));
+                            listener = Some(TcpListener::bind(addr).await.expect("bind the same port again"));
                         }
                         continue;
                     }
@@ -103,7 +107,7 @@
         Discovery { addr, list, held_version, full_list_requests, open_connections, behavior }
     }
 
-    /// From now on the agent answers, or not. Where it refuses, its connections have ended.
+    /// Changes the behavior. If the agent is to refuse connections, waits until its open ones have closed.
     pub async fn set_behavior(&self, behavior: DiscoveryBehavior) {
         self.behavior.send_replace(behavior);
         if behavior == DiscoveryBehavior::Refusing {
@@ -111,25 +115,25 @@
         }
     }
 
-    /// Changes the list; whether the proxy is told is another matter.
+    /// Replaces the list without waiting until the proxy holds it.
     pub fn replace_list(&self, hosts: Vec<Value>) {
         self.list.send_modify(|(seq, list)| (*seq, *list) = (*seq + 1, hosts));
     }
 
-    /// The configuration of a proxy that asks here.
+    /// Returns the configuration of a proxy that uses this agent.
     pub fn config(&self, settings: Value) -> Value {
         json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": self.addr.to_string(),
                "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
                "settings": settings})
     }
 
-    /// Waits until the proxy holds the present list.
+    /// Waits until the proxy holds the current list.
     pub async fn wait_until_applied(&self) {
         let now = self.list.borrow().0;
         in_time(self.held_version.subscribe().wait_for(|held| *held >= now)).await.expect("open");
     }
 
-    /// Changes the list and waits until the proxy holds it.
+    /// Replaces the list and waits until the proxy holds it.
     pub async fn publish(&self, hosts: Vec<Value>) {
         self.replace_list(hosts);
         self.wait_until_applied().await;
--- a/crates/proxy/tests/support/failing_calls.c
+++ b/crates/proxy/tests/support/failing_calls.c
@@ -1,4 +1,5 @@
-/* Preloaded into the proxy: lets system calls fail as a file says that a test writes, one line "CALL ERRNO". */
+/* Preloaded into the proxy to make system calls fail. A test writes the failing calls to the file named by
+ * FAILING_CALLS, one line "CALL ERRNO" each. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -9,7 +10,7 @@
 #include <string.h>
 #include <sys/socket.h>
 
-/* The error that a call is to fail with; 0 for none. */
+/* Returns the errno that a call must fail with, or 0 if it must not fail. */
 static int errno_for(const char *call) {
     const char *path = getenv("FAILING_CALLS");
     FILE *file = path ? fopen(path, "r") : NULL;
@@ -26,12 +27,13 @@
     return found ? error : 0;
 }
 
+/* Returns whether a path is that of the configuration file. */
 static int is_configuration(const char *path) {
     const char *configuration = getenv("RELAY_CONFIG");
     return configuration != NULL && strcmp(path, configuration) == 0;
 }
 
-/* Opens the file of the configuration, or fails. */
+/* Replaces open64: fails for the configuration file if the test says so. */
 int open64(const char *path, int flags, ...) {
     static int (*next)(const char *, int, ...);
     va_list arguments;
@@ -49,7 +51,7 @@
     return next(path, flags, mode);
 }
 
-/* Binds a socket, or fails. */
+/* Replaces bind: fails if the test says so. */
 int bind(int socket, const struct sockaddr *address, socklen_t length) {
     static int (*next)(int, const struct sockaddr *, socklen_t);
     int error = errno_for("bind");
--- a/crates/proxy/tests/support/failing_calls.rs
+++ b/crates/proxy/tests/support/failing_calls.rs
@@ -1,4 +1,5 @@
-//! System calls of the started program that fail as a test says, by a library that is preloaded into it.
+//! System calls of the proxy program that a test makes fail, with a library that is preloaded into the
+//! program.
 
 use super::*;
 use std::path::{Path, PathBuf};
@@ -6,12 +7,12 @@
 
 /// The system calls of one process that fail.
 pub struct FailingCalls {
-    /// Says which calls fail, and how.
+    /// The file that lists the failing calls and their errors.
     script: PathBuf,
 }
 
 impl FailingCalls {
-    /// None fails yet.
+    /// Creates the list of failing calls, which is empty at first.
     pub fn none() -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let name = format!("failing-calls-{}-{}", std::process::id(), NEXT.fetch_add(1, SeqCst));
@@ -20,25 +21,25 @@
         calls
     }
 
-    /// The shell command that starts the program, which is `$0`, with the library.
+    /// Returns the shell command that starts the program, which is `$0`, with the library preloaded.
     pub fn command(&self) -> String {
         let library = library().display();
         let script = self.script.display();
         format!("FAILING_CALLS='{script}' LD_PRELOAD='{library}' exec \"$0\"")
     }
 
-    /// From now on a call fails with an error of the system.
+    /// Makes a call fail with an error of the system from now on.
     pub fn fail(&self, call: &str, error: nix::errno::Errno) {
-        std::fs::write(&self.script, format!("{call} {}\n", error as i32)).expect("a file");
+        std::fs::write(&self.script, format!("{call} {}\n", error as i32)).expect("write the file");
     }
 
-    /// From now on no call fails.
+    /// Makes all calls succeed from now on.
     pub fn succeed(&self) {
-        std::fs::write(&self.script, "").expect("a file");
+        std::fs::write(&self.script, "").expect("write the file");
     }
 }
 
-/// The library, compiled once for each test program.
+/// Returns the path of the library, which is compiled once for each test program.
 fn library() -> &'static Path {
     static LIBRARY: OnceLock<PathBuf> = OnceLock::new();
     LIBRARY.get_or_init(|| {
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,6 +1,8 @@
-//! The started program between clients, backends and discovery on loopback sockets. Nothing here decides or
-//! models anything: a backend does what a test tells it to, and tests wait for what they see.
-#![allow(dead_code, unused_imports)] // each test program uses a part of it
+//! Helpers that run the proxy program with clients, backends and a discovery agent on loopback sockets. They
+//! contain no policy and no model: each peer follows a script of its test, and a test waits for events that
+//! it observes.
+// Each test program uses only some of the helpers.
+#![allow(dead_code, unused_imports)]
 
 mod backend;
 mod client;
@@ -45,10 +47,10 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
 
-/// No test waits longer than this for what must come.
+/// The longest time that a test waits for an expected event.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits for what must come.
+/// Awaits a future and panics if it takes longer than [`TEST_TIMEOUT`].
 pub async fn in_time<T>(what: impl Future<Output = T>) -> T {
-    timeout(TEST_TIMEOUT, what).await.expect("it comes")
+    timeout(TEST_TIMEOUT, what).await.expect("no timeout")
 }
--- a/crates/proxy/tests/support/proxy.rs
+++ b/crates/proxy/tests/support/proxy.rs
@@ -1,7 +1,8 @@
-//! The started program: its configuration, signals, log and admin API.
+//! The proxy program: its configuration, signals, log and admin API.
 
 use super::*;
 
+/// Returns settings with the classes `look` (retryable), `keep` (dedup) and `once` (fragile).
 pub fn settings() -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "aim": 20_000.0, "giveUp": 60_000.0, "points": 1.0, "lateWorth": 0.0,
@@ -18,29 +19,31 @@
     })
 }
 
+/// A process of the proxy that listens for clients.
 pub struct Proxy {
     pub addr: SocketAddr,
-    /// Where operators call, if it has such an admin API.
+    /// The address of the admin API, if one is configured.
     pub admin: Option<SocketAddr>,
-    /// Its folder for temporary files.
+    /// Its directory for temporary files (`TMPDIR`).
     pub temp_dir: std::path::PathBuf,
-    /// The file of its configuration.
+    /// The path of its configuration file.
     pub config: std::path::PathBuf,
     child: Child,
-    /// Its standard error, until somebody takes it away.
+    /// The lines of its standard error; a test may take them.
     pub log: Option<tokio::io::Lines<BufReader<ChildStderr>>>,
 }
 
-/// Writes a configuration where the program finds it.
+/// Writes a configuration to a new file and returns its path.
 pub fn write_config(text: &str) -> std::path::PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let name = format!("config-{}-{}.json", std::process::id(), NEXT.fetch_add(1, SeqCst));
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&path, text).expect("the folder for tests takes a file");
+    std::fs::write(&path, text).expect("write the configuration");
     path
 }
 
 impl Proxy {
+    /// Starts the program with an agent and settings.
     pub async fn start(discovery: &Discovery, settings: Value) -> Self {
         Proxy::start_with_command(&discovery.config(settings), "exec \"$0\"").await
     }
@@ -50,7 +53,8 @@
         StartingProxy::spawn(config, command).wait_until_listening().await
     }
 
-    /// Starts a second process of a proxy: the same folder for temporary files, other addresses as told.
+    /// Starts a second process of this proxy, with the same directory for temporary files and the addresses
+    /// of `config`.
     pub async fn start_beside(&self, config: &Value) -> Self {
         let path = write_config(&config.to_string());
         StartingProxy::spawn_in(config, "exec \"$0\"", path, self.temp_dir.clone())
@@ -58,7 +62,7 @@
             .await
     }
 
-    /// The proxy, once it holds discovery's list.
+    /// Starts the program and waits until it holds the agent's current list.
     pub async fn start_with_list_applied(discovery: &Discovery, settings: Value) -> Self {
         let proxy = Proxy::start(discovery, settings).await;
         discovery.wait_until_applied().await;
@@ -69,11 +73,11 @@
         send_signal(&self.child, signal).await;
     }
 
-    /// Stops the program where it is until it is let go on: what happens meanwhile it finds all at once.
+    /// Stops the process with SIGSTOP. When it is resumed, all events of the meantime are pending at once.
     pub async fn pause(&self) {
         self.send_signal("-STOP").await;
-        let path = format!("/proc/{}/stat", self.child.id().expect("it runs"));
-        // One that has ended never stops.
+        let path = format!("/proc/{}/stat", self.child.id().expect("a running process"));
+        // A process that has exited never reaches the stopped state, so that the wait needs a timeout.
         in_time(async {
             while !std::fs::read_to_string(&path).expect("a state").contains(") T ") {
                 tokio::task::yield_now().await;
@@ -82,101 +86,109 @@
         .await;
     }
 
+    /// Resumes a paused process with SIGCONT.
     pub async fn resume_process(&self) {
         self.send_signal("-CONT").await;
     }
 
-    /// Sends SIGTERM to a program whose log nobody reads.
+    /// Sends SIGTERM without waiting for a log line.
     pub async fn terminate_without_log(&self) {
         self.send_signal("-TERM").await;
     }
 
-    /// Sends a signal and waits until the program's log says so.
+    /// Sends a signal and waits for a log line that contains `line_part`.
     async fn signal_and_wait_for_log(&mut self, signal: &str, line_part: &str) {
         self.send_signal(signal).await;
-        let log = self.log.as_mut().expect("it is read");
-        while !in_time(log.next_line()).await.expect("readable").expect("it goes on").contains(line_part) {}
+        let log = self.log.as_mut().expect("an open log");
+        while !in_time(log.next_line())
+            .await
+            .expect("a readable log")
+            .expect("another log line")
+            .contains(line_part)
+        {}
     }
 
-    /// Sends SIGTERM and waits until the program has taken notice.
+    /// Sends SIGTERM and waits until the log confirms it.
     pub async fn terminate(&mut self) {
         self.signal_and_wait_for_log("-TERM", "stopping").await;
     }
 
-    /// Replaces the configuration, sends SIGHUP, and waits until the log has a line that says what came of it.
+    /// Replaces the configuration, sends SIGHUP and waits for a log line that contains `line_part`.
     pub async fn reload(&mut self, config: &str, line_part: &str) {
-        std::fs::write(&self.config, config).expect("the folder for tests takes a file");
+        std::fs::write(&self.config, config).expect("write the configuration");
         self.signal_and_wait_for_log("-HUP", line_part).await;
     }
 
-    /// Sends SIGHUP whatever the file holds, and waits until the log has a line that says what came of it.
+    /// Sends SIGHUP without writing the configuration and waits for a log line that contains `line_part`.
     pub async fn reload_without_writing(&mut self, line_part: &str) {
         self.signal_and_wait_for_log("-HUP", line_part).await;
     }
 
-    /// Replaces the configuration, sends SIGHUP, and gives the log's next line about configurations.
+    /// Replaces the configuration, sends SIGHUP and returns the next log line about a configuration.
     pub async fn reload_line(&mut self, config: &str) -> String {
-        std::fs::write(&self.config, config).expect("the folder for tests takes a file");
+        std::fs::write(&self.config, config).expect("write the configuration");
         self.send_signal("-HUP").await;
-        let log = self.log.as_mut().expect("it is read");
+        let log = self.log.as_mut().expect("an open log");
         loop {
-            let line = in_time(log.next_line()).await.expect("readable").expect("it goes on");
+            let line = in_time(log.next_line()).await.expect("a readable log").expect("another log line");
             if line.contains("configuration ") {
                 return line;
             }
         }
     }
 
-    /// Its process.
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
-        self.child.id().expect("it runs")
+        self.child.id().expect("a running process")
     }
 
-    /// What the operators' door shows.
+    /// Requests a path of the admin API and returns the JSON response.
     pub async fn admin_json(&self, path: &str) -> Value {
-        let mut admin = connect(self.admin.expect("a door")).await;
-        let call = Request::get(path).header("host", "door").body(Full::default()).expect("well formed");
-        let answer = in_time(admin.send_request(call)).await.expect("an answer");
-        let text = in_time(answer.into_body().collect()).await.expect("a whole one").to_bytes();
+        let mut admin = connect(self.admin.expect("an admin API")).await;
+        let call = Request::get(path).header("host", "door").body(Full::default()).expect("a valid request");
+        let answer = in_time(admin.send_request(call)).await.expect("a response");
+        let text = in_time(answer.into_body().collect()).await.expect("a complete body").to_bytes();
         serde_json::from_slice(&text).expect("JSON")
     }
 
+    /// Waits until the process has exited.
     pub async fn wait_for_exit(&mut self) -> ExitStatus {
-        in_time(self.child.wait()).await.expect("it ran")
+        in_time(self.child.wait()).await.expect("a started process")
     }
 
-    /// How much memory it holds.
+    /// Returns the resident memory of the process, in MiB.
     pub fn resident_mb(&self) -> usize {
-        let path = format!("/proc/{}/status", self.child.id().expect("it runs"));
+        let path = format!("/proc/{}/status", self.child.id().expect("a running process"));
         let text = std::fs::read_to_string(path).expect("a status");
-        let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("it tells memory");
+        let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("a VmRSS line");
         line.split_whitespace().next().expect("a figure").parse::<usize>().expect("a number") / 1024
     }
 
-    /// The folder that names the descriptors that it holds.
+    /// Returns the directory that lists the open descriptors of the process.
     pub fn descriptor_table(&self) -> String {
-        format!("/proc/{}/fd", self.child.id().expect("it runs"))
+        format!("/proc/{}/fd", self.child.id().expect("a running process"))
     }
 
-    /// An operator's call; its status.
+    /// Sends a request to the admin API and returns the status.
     pub async fn call_admin(&self, method: &str, path: &str) -> u16 {
-        let mut admin = connect(self.admin.expect("a door")).await;
+        let mut admin = connect(self.admin.expect("an admin API")).await;
         let call = Request::builder().method(method).uri(path).header("host", "door");
-        let call = call.body(Full::default()).expect("well formed");
-        in_time(admin.send_request(call)).await.expect("an answer").status().as_u16()
+        let call = call.body(Full::default()).expect("a valid request");
+        in_time(admin.send_request(call)).await.expect("a response").status().as_u16()
     }
 
+    /// Opens a client connection to the proxy.
     pub async fn client(&self) -> Client {
         Client(connect(self.addr).await)
     }
 
-    /// One call on a connection of its own: status and body.
+    /// Sends one request on a new connection and returns the status and the body of its response.
     pub async fn call(&self, class: &str) -> (u16, String) {
         self.client().await.call(class).await
     }
 }
 
-/// The program before it listens.
+/// A process of the proxy that does not listen yet.
 pub struct StartingProxy {
     temp_dir: std::path::PathBuf,
     config: std::path::PathBuf,
@@ -189,9 +201,9 @@
     pub fn spawn(config: &Value, command: &str) -> Self {
         let path = write_config(&config.to_string());
         let temp_dir = path.with_extension("tmp");
-        // One of an earlier test run may be left.
+        // An earlier test run may have left a directory of this name.
         let _ = std::fs::remove_dir_all(&temp_dir);
-        std::fs::create_dir_all(&temp_dir).expect("the folder for tests takes a folder");
+        std::fs::create_dir_all(&temp_dir).expect("create the directory");
         StartingProxy::spawn_in(config, command, path, temp_dir)
     }
 
@@ -204,22 +216,23 @@
         let mut child = Command::new("/bin/sh")
             .args(["-c", command, env!("CARGO_BIN_EXE_foldhitch-proxy")])
             .env_remove("RELAY_LISTEN")
-            // As in service: at the start the variable names the address too.
+            // As in production, the environment names the discovery address at the start.
             .env("RELAY_DISCOVERY", config["discovery"].as_str().expect("text"))
             .env("RELAY_CONFIG", &path)
             .env("TMPDIR", &temp_dir)
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .expect("it starts");
+            .expect("start the program");
         let log = BufReader::new(child.stderr.take().expect("piped")).lines();
         StartingProxy { temp_dir, config: path, child, log }
     }
 
-    /// Waits until the log has such a line, as it must before the program listens.
+    /// Waits for a log line that contains `line_part`, which must come before the program listens.
     pub async fn wait_for_log_line(&mut self, line_part: &str) {
         loop {
-            let line = in_time(self.log.next_line()).await.expect("readable").expect("it goes on");
+            let line =
+                in_time(self.log.next_line()).await.expect("a readable log").expect("another log line");
             assert!(!line.contains("listening on "), "{line_part}: {line}");
             if line.contains(line_part) {
                 return;
@@ -227,17 +240,17 @@
         }
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub async fn send_signal(&self, signal: &str) {
         send_signal(&self.child, signal).await;
     }
 
-    /// The proxy, once it listens.
+    /// Waits until the program listens and returns the proxy.
     pub async fn wait_until_listening(self) -> Proxy {
         let StartingProxy { temp_dir, config, child, mut log } = self;
         let mut admin = None;
         let addr = loop {
-            let line = in_time(log.next_line()).await.expect("readable").expect("it goes on");
+            let line = in_time(log.next_line()).await.expect("a readable log").expect("another log line");
             if let Some((_, addr)) = line.split_once("admin API at ") {
                 admin = Some(addr.parse().expect("an address"));
             }
@@ -250,7 +263,7 @@
 }
 
 async fn send_signal(child: &Child, signal: &str) {
-    let id = child.id().expect("it runs").to_string();
+    let id = child.id().expect("a running process").to_string();
     let sent = in_time(Command::new("kill").args([signal, &id]).status()).await;
-    assert!(sent.expect("kill runs").success());
+    assert!(sent.expect("run kill").success());
 }
--- a/crates/proxy/tests/support/raw_peers.rs
+++ b/crates/proxy/tests/support/raw_peers.rs
@@ -1,36 +1,39 @@
-//! Peers that a test drives byte by byte, in the order that it forces.
+//! Clients and backends that a test drives byte by byte, to force an order of events.
 
 use super::*;
 
-/// One side of a connection, with what came on it and was not used yet.
+/// One side of a connection, with a buffer of received bytes that were not consumed yet.
 pub struct RawConnection {
     pub stream: TcpStream,
     received: Vec<u8>,
 }
 
 impl RawConnection {
+    /// Opens a connection.
     pub async fn connect(addr: SocketAddr) -> Self {
         RawConnection::new(connect_tcp(addr).await)
     }
 
-    /// A client that takes little of what it does not read.
+    /// Opens a connection with a small receive buffer, so that the system buffers few unread bytes.
     pub async fn connect_with_small_buffer(addr: SocketAddr) -> Self {
         const RECEIVE_BUFFER_BYTES: u32 = 2048;
-        let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
+        let socket = tokio::net::TcpSocket::new_v4().expect("create a socket");
         socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("a size");
-        RawConnection::new(in_time(socket.connect(addr)).await.expect("it listens"))
+        RawConnection::new(in_time(socket.connect(addr)).await.expect("connect"))
     }
 
+    /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> Self {
         stream.set_nodelay(true).expect("open");
         RawConnection { stream, received: Vec::new() }
     }
 
+    /// Writes all bytes.
     pub async fn write(&mut self, bytes: impl AsRef<[u8]>) {
         in_time(self.stream.write_all(bytes.as_ref())).await.expect("open");
     }
 
-    /// The next head, in lower case; none where the connection ends before.
+    /// Returns the next head in lower case, or `None` if the connection ends before it is complete.
     pub async fn read_head(&mut self) -> Option<String> {
         loop {
             if let Some(end) = self.received.windows(4).position(|window| window == b"\r\n\r\n") {
@@ -41,7 +44,7 @@
         }
     }
 
-    /// The next bytes; none where the connection ends before.
+    /// Returns the next `length` bytes, or `None` if the connection ends before them.
     pub async fn read_bytes(&mut self, length: usize) -> Option<Vec<u8>> {
         while self.received.len() < length {
             self.receive().await?;
@@ -49,7 +52,7 @@
         Some(self.received.drain(..length).collect())
     }
 
-    /// The next message whose body has a length, if any: its head and its body.
+    /// Returns the head and the body of the next message. A body must have a `Content-Length`.
     pub async fn read_message(&mut self) -> Option<(String, String)> {
         let head = self.read_head().await?;
         let length = header(&head, "content-length").map_or(0, |length| length.parse().expect("a number"));
@@ -57,56 +60,59 @@
         Some((head, String::from_utf8(body).expect("text")))
     }
 
-    /// The status and the body of the next answer.
+    /// Returns the status and the body of the next response.
     pub async fn read_answer(&mut self) -> Option<(u16, String)> {
         let (head, body) = self.read_message().await?;
         Some((head.split(' ').nth(1)?.parse().expect("a status"), body))
     }
 
-    /// The id and the body of the next request.
+    /// Returns the id and the body of the next request.
     pub async fn read_request(&mut self) -> Option<(String, String)> {
         let (head, body) = self.read_message().await?;
         Some((header(&head, "req-id")?.to_string(), body))
     }
 
-    /// What still comes until the other side ends or breaks the connection.
+    /// Returns all further bytes until the peer closes or resets the connection.
     pub async fn read_to_close(&mut self) -> Vec<u8> {
         while self.receive().await.is_some() {}
         std::mem::take(&mut self.received)
     }
 
+    /// Reads more bytes into the buffer; `None` at the end of the connection.
     async fn receive(&mut self) -> Option<()> {
         let length = in_time(self.stream.read_buf(&mut self.received)).await.ok()?;
         (length > 0).then_some(())
     }
 }
 
-/// A header's value in a head in lower case.
+/// Returns a header's value from a head in lower case.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
 }
 
-/// A backend whose connections a test drives.
+/// A backend whose connections are driven by the test.
 pub struct RawBackend {
     pub addr: SocketAddr,
     listener: TcpListener,
 }
 
 impl RawBackend {
+    /// Starts listening on a free port.
     pub async fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let addr = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+        let addr = listener.local_addr().expect("a local address");
         RawBackend { addr, listener }
     }
 
+    /// Accepts the proxy's next connection.
     pub async fn accept(&self) -> RawConnection {
-        RawConnection::new(in_time(self.listener.accept()).await.expect("a connection").0)
+        RawConnection::new(in_time(self.listener.accept()).await.expect("accept a connection").0)
     }
 }
 
-/// Waits until the proxy has read all that a client has written, and has done what follows from it.
+/// Waits until the proxy has read and processed everything that a client has written.
 pub async fn wait_until_read(proxy: &Proxy, client: &RawConnection) {
-    let port = client.stream.local_addr().expect("bound").port();
+    let port = client.stream.local_addr().expect("a local address").port();
     let is_unread = |row: &TcpTableEntry| {
         row.local_port == proxy.addr.port() && row.remote_port == port && row.unread_bytes > 0
     };
@@ -116,11 +122,11 @@
         }
     })
     .await;
-    // By the time that others have had answers, what was read before them has had its effect.
+    // Once requests on later connections are answered, the bytes that were read before them are processed.
     const HEALTH_CHECKS: usize = 10;
     for _ in 0..HEALTH_CHECKS {
         let mut other = RawConnection::connect(proxy.addr).await;
         other.write("GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n").await;
-        other.read_answer().await.expect("an answer");
+        other.read_answer().await.expect("a response");
     }
 }
