--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of any size through the started program, in every form that HTTP/1.1 has for them.
+//! Tests of bodies of all sizes and of every HTTP/1.1 message framing through the proxy program.
 
 mod support;
 
@@ -11,9 +11,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const LARGE_BODY_BYTES: usize = 1 << 20;
+/// The last chunk with a trailer field.
 const LAST_CHUNK: &str = "0\r\nTrailer-Field: seen\r\n\r\n";
 
-/// Bytes that differ along the way, so that none can be left out or doubled unseen.
+/// Returns bytes in a changing pattern, so that a missing or repeated part is detected.
 fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n % 251) as u8).collect()
 }
@@ -32,15 +33,17 @@
     Fixture { script, proxy, _discovery: discovery }
 }
 
+/// Returns the head of an upload with further headers.
 fn upload_head(id: &str, headers: &str) -> Vec<u8> {
     let head = "POST /once HTTP/1.1\r\nHost: o\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n";
     format!("{head}Req-Id: {id}\r\n{headers}\r\n\r\n").into_bytes()
 }
 
+/// Returns the data in chunks, with chunk extensions and a trailer field.
 fn chunked_body(data: &[u8], size: usize) -> Vec<u8> {
     let mut body = Vec::new();
     for (n, chunk) in data.chunks(size).enumerate() {
-        // The HTTP library takes 16 KiB of extensions in a message.
+        // hyper accepts at most 16 KiB of chunk extensions in a message.
         let extension = if n < 100 { ";name=\"value\"" } else { "" };
         body.extend(format!("{:X}{extension}\r\n", chunk.len()).bytes());
         body.extend(chunk);
@@ -50,7 +53,7 @@
     body
 }
 
-/// Chunks of which the last is none.
+/// Returns the data in chunks, with a malformed chunk size in place of the last chunk.
 fn body_with_malformed_chunk(data: &[u8]) -> Vec<u8> {
     let mut body = chunked_body(data, 50_000);
     body.truncate(body.len() - LAST_CHUNK.len());
@@ -58,7 +61,8 @@
     body
 }
 
-/// Reads an answer and tells its status; nothing if the connection ends before. Served ones have a body of one byte.
+/// Reads a response and returns its status, or `None` if the connection ends first. Responses with status 200
+/// must have a body of one byte.
 async fn read_status(stream: &mut TcpStream) -> Option<u16> {
     let mut answer = Vec::new();
     while !answer.ends_with(b"\r\n\r\n") {
@@ -83,16 +87,16 @@
         (chunked.to_string(), chunked_body(&small, 1), &small),
         (format!("{chunked}\r\nExpect: 100-continue"), chunked_body(&large, 100_000), &large),
     ];
-    let mut stream = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
+    let mut stream = TcpStream::connect(fixture.proxy.addr).await.expect("connect");
     for (n, (headers, bytes, body)) in forms.into_iter().enumerate() {
-        stream.write_all(&upload_head(&n.to_string(), &headers)).await.expect("taken");
+        stream.write_all(&upload_head(&n.to_string(), &headers)).await.expect("write");
         if headers.contains("Expect") {
             assert_eq!(read_status(&mut stream).await, Some(100));
         }
-        stream.write_all(&bytes).await.expect("taken");
+        stream.write_all(&bytes).await.expect("write");
         assert_eq!(read_status(&mut stream).await, Some(200), "{headers}");
         fixture.script.wait_for_requests(n + 1).await;
-        assert!(fixture.script.seen.borrow()[n].2 == body, "{headers}: not as it was sent");
+        assert!(fixture.script.seen.borrow()[n].2 == body, "{headers}: the body differs");
     }
 }
 
@@ -100,16 +104,16 @@
 async fn only_a_buffered_upload_is_retried() {
     let fixture = fixture().await;
     fixture.script.enqueue([BackendBehavior::Decline(503)]);
-    let call = request("once").body(Full::from(pattern(LARGE_BODY_BYTES))).expect("well formed");
+    let call = request("once").body(Full::from(pattern(LARGE_BODY_BYTES))).expect("a valid request");
     assert_eq!(
         fixture.proxy.client().await.send(call).await.0,
         503,
-        "it never ran: its caller may come again"
+        "it never ran, so that its client may retry"
     );
     assert_eq!(fixture.script.seen.borrow().len(), 1);
-    // The same of a body that is kept goes to the other.
+    // A buffered body is sent to the other backend.
     fixture.script.enqueue([BackendBehavior::Decline(503)]);
-    let call = request("once").body(Full::from(pattern(64 * 1024))).expect("well formed");
+    let call = request("once").body(Full::from(pattern(64 * 1024))).expect("a valid request");
     assert_eq!(fixture.proxy.client().await.send(call).await.0, 200);
     assert_eq!(fixture.script.seen.borrow().len(), 3);
 }
@@ -123,10 +127,10 @@
         Discovery::start(vec![endpoint("a", refusing_addr, "SERVING"), b.endpoint("SERVING")]).await;
     let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     for n in 1..=8 {
-        let call = request("once").body(Full::from(pattern(LARGE_BODY_BYTES))).expect("well formed");
+        let call = request("once").body(Full::from(pattern(LARGE_BODY_BYTES))).expect("a valid request");
         assert_eq!(proxy.client().await.send(call).await, (200, "b".into()));
         assert_eq!(script.seen.borrow().len(), n);
-        // A kept connection that was closed meanwhile takes nothing of the next one away.
+        // The backend closes the kept connection: the next upload must not lose bytes on it.
         b.close_idle_connections().await;
     }
 }
@@ -138,35 +142,36 @@
     let broken = body_with_malformed_chunk(&pattern(LARGE_BODY_BYTES));
     let short = b"4\r\ngood\r\nzz\r\n".to_vec();
     for (n, bytes) in [broken, short].into_iter().enumerate() {
-        let mut stream = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
-        stream.write_all(&upload_head(&n.to_string(), chunked)).await.expect("taken");
-        // It may be rejected before it is written.
+        let mut stream = TcpStream::connect(fixture.proxy.addr).await.expect("connect");
+        stream.write_all(&upload_head(&n.to_string(), chunked)).await.expect("write");
+        // The proxy may reject it before it is written completely.
         let _ = stream.write_all(&bytes).await;
         let status = read_status(&mut stream).await;
         assert!(status.is_none_or(|s| s == 400), "{status:?}");
     }
-    // One that stops half-way is told so, and one whose client leaves is forgotten.
-    let mut stalling = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
-    stalling.write_all(&upload_head("stops", "Content-Length: 1000000")).await.expect("taken");
-    stalling.write_all(&pattern(100_000)).await.expect("taken");
-    let mut leaving = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
-    leaving.write_all(&upload_head("leaves", "Content-Length: 1000000")).await.expect("taken");
-    leaving.write_all(&pattern(100_000)).await.expect("taken");
+    // An upload that stalls half-way is rejected, and one whose client disconnects is dropped.
+    let mut stalling = TcpStream::connect(fixture.proxy.addr).await.expect("connect");
+    stalling.write_all(&upload_head("stops", "Content-Length: 1000000")).await.expect("write");
+    stalling.write_all(&pattern(100_000)).await.expect("write");
+    let mut leaving = TcpStream::connect(fixture.proxy.addr).await.expect("connect");
+    leaving.write_all(&upload_head("leaves", "Content-Length: 1000000")).await.expect("write");
+    leaving.write_all(&pattern(100_000)).await.expect("write");
     drop(leaving);
     assert_eq!(read_status(&mut stalling).await, Some(408));
     assert_eq!(fixture.script.seen.borrow().len(), 0);
     assert_eq!(fixture.proxy.call("once").await.0, 200);
 }
 
-/// A backend that answers its n-th connection with the n-th bytes, and closes it where that is told.
+/// Starts a backend that responds to its n-th request with the n-th bytes, and then closes the connection if
+/// the flag is set. Returns its address and the number of bytes that it has written.
 async fn start_answering_backend(answers: Vec<(Vec<u8>, bool)>) -> (SocketAddr, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+    let addr = listener.local_addr().expect("a local address");
     let (written, count) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let (counts, answers) = (written.clone(), Arc::new(answers));
     tokio::spawn(async move {
         loop {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("accept a connection");
             let (written, count, answers) = (counts.clone(), count.clone(), answers.clone());
             tokio::spawn(async move {
                 let mut seen = Vec::new();
@@ -192,13 +197,15 @@
     (addr, written)
 }
 
+/// Starts a proxy with one backend.
 async fn proxy_for(addr: SocketAddr) -> (Proxy, Discovery) {
     let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING")]).await;
     (Proxy::start_with_list_applied(&discovery, settings()).await, discovery)
 }
 
+/// Sends a request and returns the status and the body of the response.
 async fn fetch(proxy: &Proxy) -> Result<(u16, Vec<u8>), hyper::Error> {
-    let call = request("look").body(Full::default()).expect("well formed");
+    let call = request("look").body(Full::default()).expect("a valid request");
     let mut client = connect(proxy.addr).await;
     let answer = in_time(client.send_request(call)).await?;
     let status = answer.status().as_u16();
@@ -228,7 +235,7 @@
     let (addr, _) = start_answering_backend(answers).await;
     let (proxy, _discovery) = proxy_for(addr).await;
     for (n, (_, _, body)) in forms.iter().enumerate() {
-        let (status, received) = fetch(&proxy).await.expect("a whole answer");
+        let (status, received) = fetch(&proxy).await.expect("a complete response");
         assert!(status == 200 && received == **body, "form {n}: {status}, {} bytes", received.len());
     }
 }
@@ -248,18 +255,19 @@
         truncated(&length, &large[..LARGE_BODY_BYTES / 2], true),
         truncated(chunked, &chunks, true),
         truncated(chunked, &broken, false),
-        // Longer than it says: its end would be missing.
+        // Longer than its `Content-Length`: the end of the body would be missing.
         truncated(&format!("Content-Length: {}\r\n", LARGE_BODY_BYTES - 9), &large, false),
     ];
     let count = answers.len();
     let (addr, _) = start_answering_backend(answers).await;
     let (proxy, _discovery) = proxy_for(addr).await;
     for n in 0..count {
-        assert!(fetch(&proxy).await.is_err(), "answer {n} looks whole");
+        assert!(fetch(&proxy).await.is_err(), "response {n} looks complete");
     }
 }
 
-/// Clients that read nothing stop the backend, and the proxy holds little for each.
+/// Clients that don't read their responses apply backpressure to the backend: the proxy buffers little for
+/// each.
 #[tokio::test]
 async fn unread_responses_take_little_memory() {
     const LONG_BODY_BYTES: usize = 32 << 20;
@@ -270,26 +278,32 @@
     ];
     let (addr, written) = start_answering_backend(vec![(bytes.concat(), false)]).await;
     let (proxy, _discovery) = proxy_for(addr).await;
+    // Given: clients that read only the heads of long responses.
     let mut answers = Vec::new();
     for _ in 0..CLIENTS {
-        let call = request("look").body(Full::<bytes::Bytes>::default()).expect("well formed");
+        let call = request("look").body(Full::<bytes::Bytes>::default()).expect("a valid request");
         let mut client = connect(proxy.addr).await;
-        answers.push((in_time(client.send_request(call)).await.expect("an answer"), client));
+        answers.push((in_time(client.send_request(call)).await.expect("a response"), client));
     }
-    // Until nothing more is taken from the backend.
+    // When: the proxy reads nothing more from the backend.
     let mut before = 0;
     while before != written.load(SeqCst) || before == 0 {
         before = written.load(SeqCst);
         tokio::time::sleep(std::time::Duration::from_millis(200)).await;
     }
-    assert!(before < CLIENTS * LONG_BODY_BYTES, "all was taken in though nobody reads");
-    assert!(proxy.resident_mb() < 24, "{} MB for {CLIENTS} answers", proxy.resident_mb());
-    // Whoever reads again gets all.
+    // Then: it has buffered little.
+    assert!(before < CLIENTS * LONG_BODY_BYTES, "the proxy read all responses though no client reads");
+    assert!(proxy.resident_mb() < 24, "{} MB for {CLIENTS} responses", proxy.resident_mb());
+    // A client that resumes reading gets its complete response.
     let (answer, _client) = answers.swap_remove(0);
-    assert_eq!(in_time(answer.into_body().collect()).await.expect("whole").to_bytes().len(), LONG_BODY_BYTES);
+    assert_eq!(
+        in_time(answer.into_body().collect()).await.expect("a complete body").to_bytes().len(),
+        LONG_BODY_BYTES
+    );
 }
 
-/// A client that is rejected while it writes still is read on, however long that takes, and sees its answer.
+/// The proxy keeps reading the upload of a rejected client, however long that takes, so that the client gets
+/// its response and no reset.
 #[tokio::test]
 async fn rejected_upload_is_read_to_its_end() {
     let script = Arc::new(BackendScript::default());
@@ -298,17 +312,20 @@
     let mut settings = settings();
     settings["caps"]["openCap"] = 1.into();
     let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
+    // Given: the one request that may be in flight.
     let release = Arc::new(tokio::sync::Notify::new());
     script.enqueue([BackendBehavior::Hold(release.clone())]);
     let mut client = proxy.client().await;
     let held_call = tokio::spawn(async move { client.call("once").await });
     script.wait_for_requests(1).await;
-    let mut stream = TcpStream::connect(proxy.addr).await.expect("it listens");
-    stream.write_all(&upload_head("slow", "Content-Length: 1000000")).await.expect("taken");
+    // When: an upload arrives slowly after it was rejected.
+    let mut stream = TcpStream::connect(proxy.addr).await.expect("connect");
+    stream.write_all(&upload_head("slow", "Content-Length: 1000000")).await.expect("write");
     for _ in 0..10 {
-        stream.write_all(&pattern(100_000)).await.expect("it is read on");
+        stream.write_all(&pattern(100_000)).await.expect("the proxy reads on");
         tokio::time::sleep(std::time::Duration::from_millis(400)).await;
     }
+    // Then: its client gets the response, and the request in flight is served.
     assert_eq!(read_status(&mut stream).await, Some(503));
     release.notify_one();
     assert_eq!(held_call.await.expect("no panic").0, 200);
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,6 +1,7 @@
 //! Helpers that run the proxy program with clients, backends and a discovery agent on loopback sockets. They
 //! contain no policy and no model: each peer follows a script of its test, and a test waits for events that
 //! it observes.
+
 // Each test program uses only some of the helpers.
 #![allow(dead_code, unused_imports)]
 
