--- a/crates/proxy/tests/client_disconnect.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! For a client that has left nothing more is sent, wherever its request or the next attempt at it waits by then. The
-//! program is told of the end of a wait as early as of its client's leave, or earlier.
+//! Nothing more is sent for a client that has disconnected, wherever its request or the next attempt is
+//! waiting. In these tests the proxy learns of the end of the wait before the disconnect or at the same time.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::task::yield_now;
 
-/// So many requests at once are surely let through by a limit that has learned nothing yet.
+/// A number of concurrent requests that the initial concurrency limit certainly admits.
 const CONCURRENT_REQUESTS: usize = 7;
 
 struct Fixture {
@@ -31,16 +31,16 @@
     Fixture { script, a, b, _discovery: discovery, proxy }
 }
 
-/// How a client leaves.
+/// The way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
-    /// Ends its sending.
+    /// Closes its sending direction.
     Shutdown,
-    /// Resets its connection.
+    /// Resets the connection.
     Reset,
 }
 
-/// Leaves. What is left of the connection on this side can still be read.
+/// Disconnects a client. Returns the connection if it can still be read.
 fn disconnect(client: TcpStream, how: Disconnect) -> Option<TcpStream> {
     let socket = SockRef::from(&client);
     match how {
@@ -50,7 +50,7 @@
     matches!(how, Disconnect::Shutdown).then_some(client)
 }
 
-/// Waits until the system, on the proxy's side, knows of each client's end.
+/// Waits until the system has received each client's FIN or RST on the proxy's side.
 async fn wait_until_closes_arrived(proxy: &Proxy, clients: &[u16]) {
     let is_open = |row: &TcpTableEntry| {
         row.local_port == proxy.addr.port() && clients.contains(&row.remote_port) && row.state == ESTABLISHED
@@ -64,10 +64,11 @@
 }
 
 fn local_port(client: &TcpStream) -> u16 {
-    client.local_addr().expect("bound").port()
+    client.local_addr().expect("a local address").port()
 }
 
-/// By the time that others have had answers, what came before them has been read.
+/// Sends health checks on new connections. Once they are answered, the proxy has read what arrived before
+/// them.
 async fn check_health_on_new_connections(proxy: &Proxy, count: usize) {
     for _ in 0..count {
         let mut other = connect_tcp(proxy.addr).await;
@@ -76,7 +77,7 @@
     }
 }
 
-/// The end of what its client sends lies behind bytes that nobody reads yet, as an attempt fails.
+/// An attempt fails while the client's FIN is buffered behind bytes that the proxy hasn't read yet.
 #[tokio::test]
 async fn no_retry_for_a_disconnect_behind_unread_bytes() {
     let fixture = fixture().await;
@@ -89,27 +90,31 @@
         fixture.script.wait_for_requests(requests_before + 1).await;
         client.write_all("x".repeat(60_000).as_bytes()).await.expect("open");
         check_health_on_new_connections(&fixture.proxy, 10).await;
+        // When: the client disconnects, and then the attempt fails.
         let mut client = disconnect(client, Disconnect::Shutdown).expect("open");
-        // By then the end has come too, behind the bytes.
+        // By then the FIN has arrived too, behind the bytes.
         check_health_on_new_connections(&fixture.proxy, 1).await;
         release.notify_one();
-        assert_eq!(read_status(&mut client).await, None, "{n}: the proxy knows that it left");
+        // Then: there is no second attempt.
+        assert_eq!(read_status(&mut client).await, None, "{n}: the proxy has detected the disconnect");
         assert_eq!(fixture.proxy.call("look").await.0, 200);
         assert_eq!(
             fixture.script.seen.borrow().len(),
             requests_before + 2,
-            "{n}: its one attempt, and the other's"
+            "{n}: its one attempt, and that of the other client"
         );
     }
 }
 
-/// Many attempts fail and their clients leave in what is one turn to the program. It hears of the failures first.
+/// Many attempts fail and their clients disconnect in one turn of the proxy's event loop, which sees the
+/// failures first.
 #[tokio::test]
 async fn no_retry_for_a_disconnect_in_the_turn_of_a_failure() {
     for how in [Disconnect::Shutdown, Disconnect::Reset] {
         let fixture = fixture().await;
         let releases: Vec<_> = (0..CONCURRENT_REQUESTS).map(|_| Arc::new(Notify::new())).collect();
         fixture.script.enqueue(releases.iter().cloned().map(BackendBehavior::HoldThenDecline));
+        // Given: requests that are held at the backends.
         let mut clients = Vec::new();
         for n in 0..CONCURRENT_REQUESTS {
             let mut client = connect_tcp(fixture.proxy.addr).await;
@@ -117,6 +122,7 @@
             clients.push(client);
         }
         fixture.script.wait_for_requests(CONCURRENT_REQUESTS).await;
+        // When: they fail and their clients disconnect in one turn of the proxy.
         fixture.proxy.pause().await;
         releases.iter().for_each(|release| release.notify_one());
         let backends = [fixture.a.addr.port(), fixture.b.addr.port()];
@@ -136,6 +142,7 @@
         let mut closing: Vec<_> = clients.into_iter().filter_map(|client| disconnect(client, how)).collect();
         wait_until_closes_arrived(&fixture.proxy, &ports).await;
         fixture.proxy.resume_process().await;
+        // Then: there are no further attempts.
         for client in &mut closing {
             assert_eq!(read_status(client).await, None, "{how:?}");
         }
@@ -144,14 +151,16 @@
     }
 }
 
-/// A request and its client's leave are found together: on a connection that waits at the listener, on one that is
-/// open, and with two requests in one.
+/// The proxy finds a request and its client's disconnect at the same time: on a connection in the accept
+/// queue, on an open connection, and behind two pipelined requests.
 #[tokio::test]
 async fn request_read_after_its_client_disconnected_is_not_sent() {
     let fixture = fixture().await;
+    // Given: one open connection.
     let mut open = connect_tcp(fixture.proxy.addr).await;
     open.write_all(request_head("GET /look", "first").as_bytes()).await.expect("open");
     assert_eq!(read_status(&mut open).await, Some(200));
+    // When: clients send requests and disconnect while the proxy is paused.
     fixture.proxy.pause().await;
     let queued = connect_tcp(fixture.proxy.addr).await;
     let pipelining = connect_tcp(fixture.proxy.addr).await;
@@ -168,10 +177,11 @@
     }
     wait_until_closes_arrived(&fixture.proxy, &ports).await;
     fixture.proxy.resume_process().await;
+    // Then: the requests are not sent to a backend.
     for client in &mut closing {
-        // What the proxy says to one that left is of no matter, as long as it lets go of it.
+        // The proxy may send a response to the disconnected client, but it must close the connection.
         while read_status(client).await.is_some() {}
     }
     assert_eq!(fixture.proxy.call("look").await.0, 200);
-    assert_eq!(fixture.script.seen.borrow().len(), 2, "the first, and the other's");
+    assert_eq!(fixture.script.seen.borrow().len(), 2, "the first request, and that of the other client");
 }
--- a/crates/proxy/tests/connection_close.rs
+++ b/crates/proxy/tests/connection_close.rs
@@ -1,5 +1,6 @@
-//! What is still owed at the instant in which something ends. The program is paused while the bad order is laid out
-//! in the system's queues, so that it finds it so each time.
+//! Responses and requests that are still due when a connection, a listener or the program closes. The tests
+//! pause the program while they arrange an unfavorable order of events in the system's queues, so that it
+//! finds this order in every run.
 
 mod support;
 
@@ -12,14 +13,16 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// So many requests at once are surely let through by a limit that has learned nothing yet.
+/// A number of concurrent requests that the initial concurrency limit certainly admits.
 const CONCURRENT_REQUESTS: usize = 7;
-/// Connections that wait in the system's queue together: fewer than it has places, and several times the table.
+/// The number of connections of a burst: fewer than the accept queue holds, and several times the size of the
+/// connection table.
 const BURST_CONNECTIONS: usize = 1000;
-/// Which of two things that are ready the accept loop does first is left to chance.
+/// The number of bursts: the accept loop chooses at random between two events that are ready.
 const BURSTS: usize = 10;
-/// How often in a burst the program is held up, and for how long: longer than it waits before it forces somebody out.
+/// The number of times that the program is resumed and paused again during a burst.
 const STEPS_PER_BURST: usize = 20;
+/// The length of such a pause: longer than the proxy waits before it evicts a client.
 const STEP_PAUSE: Duration = Duration::from_millis(10);
 
 struct Fixture {
@@ -29,6 +32,7 @@
     proxy: Proxy,
 }
 
+/// Starts a proxy with one backend and a changed configuration.
 async fn fixture(change: impl FnOnce(&mut Value)) -> Fixture {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
@@ -40,7 +44,7 @@
     Fixture { script, _a: a, _discovery: discovery, proxy }
 }
 
-/// Reads the answer to a call whose body is the backend's name.
+/// Reads a response and returns whether it has status 200 and the backend's name as the body.
 async fn is_served(stream: &mut TcpStream) -> bool {
     let mut answer = Vec::new();
     while !answer.ends_with(b"\r\n\r\na") {
@@ -52,11 +56,12 @@
     answer.starts_with(b"HTTP/1.1 200")
 }
 
-/// Where places are short, the client that has rested longest gives way to a new one, unless it has just asked.
+/// At the connection limit a new client evicts the one that has been idle longest, unless that one has just
+/// sent a request.
 #[tokio::test]
 async fn request_during_eviction_of_its_connection_is_served() {
     let fixture = fixture(|config| config["limits"]["sockets"] = 64.into()).await;
-    // More connect than there are places, and each is served: those that are left rest.
+    // Given: idle clients up to the limit. More clients than that connect, and each is served.
     let mut clients = Vec::new();
     for n in 0..40 {
         let mut client = connect_tcp(fixture.proxy.addr).await;
@@ -64,7 +69,7 @@
         assert!(is_served(&mut client).await, "{n}");
         clients.push(client);
     }
-    // Those that had to give way are closed by now.
+    // Evicted clients are closed by now.
     let mut idle = Vec::new();
     for client in clients {
         if client.try_read(&mut [0]).is_err() {
@@ -72,6 +77,8 @@
         }
     }
     let (late, _others) = idle.split_at_mut(CONCURRENT_REQUESTS);
+    // When: in one turn of the proxy, new clients connect and as many of the longest idle ones send a
+    // request.
     fixture.proxy.pause().await;
     let mut new_clients = Vec::new();
     for _ in 0..CONCURRENT_REQUESTS {
@@ -81,13 +88,14 @@
         client.write_all(request_head("POST /once", &format!("late-{n}")).as_bytes()).await.expect("open");
     }
     fixture.proxy.resume_process().await;
+    // Then: each of these requests is served exactly once.
     for (n, client) in late.iter_mut().enumerate() {
         assert!(is_served(client).await, "{n}");
     }
     assert_eq!(fixture.script.requests_at("a"), 40 + CONCURRENT_REQUESTS, "each runs once");
 }
 
-/// Lets a paused program go on a little at a time.
+/// Lets a paused program run in short steps.
 async fn resume_in_steps(proxy: &Proxy) {
     for _ in 0..STEPS_PER_BURST {
         proxy.resume_process().await;
@@ -96,9 +104,11 @@
     }
 }
 
-/// A burst fills the table in one turn of the accept loop and is gone again before the next: nobody has to give way.
+/// A burst of connections fills the table in one turn of the accept loop and has disconnected before the next
+/// turn, so that no idle client needs to be evicted.
 #[tokio::test]
 async fn short_burst_evicts_no_idle_client() {
+    // Given: idle clients.
     let fixture = fixture(|_| {}).await;
     let mut clients = Vec::new();
     for n in 0..CONCURRENT_REQUESTS {
@@ -108,13 +118,14 @@
         clients.push(client);
     }
     for burst in 0..BURSTS {
+        // When: a burst of clients connects and disconnects.
         fixture.proxy.pause().await;
         for _ in 0..BURST_CONNECTIONS {
             drop(connect_tcp(fixture.proxy.addr).await);
         }
         resume_in_steps(&fixture.proxy).await;
         fixture.proxy.resume_process().await;
-        // It waits behind the burst.
+        // Then: a connection that is queued behind the burst is served, and so are the idle clients.
         assert_eq!(fixture.proxy.call("look").await, (200, "a".into()));
         for (n, client) in clients.iter_mut().enumerate() {
             client
@@ -126,7 +137,8 @@
     }
 }
 
-/// Connections at rest are closed near the end of a planned stop; a request may lie there by then.
+/// Near the end of a graceful shutdown idle connections are closed, while a request may already be buffered
+/// on one.
 #[tokio::test]
 async fn request_crossing_an_idle_close_at_stop_is_served() {
     let mut fixture = fixture(|config| {
@@ -135,6 +147,7 @@
         }
     })
     .await;
+    // Given: idle clients of a proxy that shuts down.
     let mut clients = Vec::new();
     for n in 0..CONCURRENT_REQUESTS {
         let mut client = connect_tcp(fixture.proxy.addr).await;
@@ -145,25 +158,31 @@
     fixture.proxy.terminate().await;
     let terminated_at = Instant::now();
     wait_until_listener_closed(fixture.proxy.addr).await;
+    // When: the clients send requests, and their connections are due to be closed in the same turn of the
+    // proxy.
     fixture.proxy.pause().await;
     for (n, client) in clients.iter_mut().enumerate() {
         client.write_all(request_head("POST /once", &format!("late-{n}")).as_bytes()).await.expect("open");
     }
-    // By these settings such connections are closed 1.5 s after the signal.
+    // With these settings idle connections are closed 1.5 s after the signal.
     sleep_until(terminated_at + Duration::from_millis(1600)).await;
     fixture.proxy.resume_process().await;
+    // Then: the requests are served.
     for (n, client) in clients.iter_mut().enumerate() {
         assert!(is_served(client).await, "{n}");
     }
     assert_eq!(fixture.proxy.wait_for_exit().await.code(), Some(0));
 }
 
-/// Nobody knows of those that the system has taken for the proxy and that wait at its listener.
+/// The proxy doesn't know of the connections that the system has established and that are still in the accept
+/// queue.
 #[tokio::test]
 async fn backlog_is_served_when_the_listener_closes() {
     let mut fixture = fixture(|_| {}).await;
     fixture.proxy.terminate().await;
     let terminated_at = Instant::now();
+    // When: clients connect and send requests, and the listener is due to be closed in the same turn of the
+    // proxy.
     fixture.proxy.pause().await;
     let mut clients = Vec::new();
     for n in 0..CONCURRENT_REQUESTS {
@@ -174,14 +193,15 @@
     // The listener is closed 0.5 s after the signal.
     sleep_until(terminated_at + Duration::from_millis(700)).await;
     fixture.proxy.resume_process().await;
+    // Then: the requests are served.
     for (n, client) in clients.iter_mut().enumerate() {
         assert!(is_served(client).await, "{n}");
     }
     assert_eq!(fixture.proxy.wait_for_exit().await.code(), Some(0));
 }
 
-/// An answer that its client has not taken yet lies with the system when the connection is closed. Closed over bytes
-/// that nobody has read, it would be thrown away.
+/// A response that its client has not read yet is buffered by the system when the proxy closes the
+/// connection. A close with unread received bytes would reset the connection and discard the response.
 #[tokio::test]
 async fn response_survives_extra_bytes_from_its_client() {
     const LENGTH: usize = 60_000;
@@ -192,28 +212,30 @@
     let backend = backend.await;
     let discovery = Discovery::start(vec![endpoint("a", backend.addr, "SERVING")]).await;
     let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
-    let socket = TcpSocket::new_v4().expect("a socket");
+    // When: a client with a small receive buffer sends more than its request and reads only a part of the
+    // response.
+    let socket = TcpSocket::new_v4().expect("create a socket");
     socket.set_recv_buffer_size(2048).expect("a size");
-    let mut client = in_time(socket.connect(proxy.addr)).await.expect("it listens");
+    let mut client = in_time(socket.connect(proxy.addr)).await.expect("connect");
     let text = request_head("GET /look", "1").replace("Host: o", "Host: o\r\nConnection: close");
-    client.write_all((text + &"x".repeat(100_000)).as_bytes()).await.expect("the system takes it");
+    client.write_all((text + &"x".repeat(100_000)).as_bytes()).await.expect("the system accepts it");
     let mut answer = Vec::new();
     assert_ne!(in_time(client.read_buf(&mut answer)).await.expect("open"), 0);
-    // By the time that others have been served the connection was closed.
+    // Then: it gets the complete response. Once other requests were served, the connection has been closed.
     for _ in 0..10 {
         assert_eq!(proxy.call("look").await.0, 200);
     }
-    in_time(client.read_to_end(&mut answer)).await.expect("a close in good order");
+    in_time(client.read_to_end(&mut answer)).await.expect("a close without a reset");
     assert!(answer.starts_with(b"HTTP/1.1 200") && answer.ends_with(b"yyy"));
     assert!(answer.len() > LENGTH, "{} bytes", answer.len());
 }
 
-/// A client that has written more than its request and leaves is gone all the same: bytes that nobody reads yet lie
-/// before the end of its stream.
+/// A disconnect is detected although the client has written more than its request, so that unread bytes are
+/// buffered before its FIN.
 #[tokio::test]
 async fn disconnect_behind_unread_bytes_is_detected() {
     let fixture = fixture(|_| {}).await;
-    // What comes in one with the request, and what comes later.
+    // The bytes sent together with the request, and those sent later.
     for (pipelined, later) in [("GET /lo", ""), ("", "GET /lo"), ("", &"x".repeat(60_000))] {
         let abandoned_before = *fixture.script.abandoned.borrow();
         let requests_before = fixture.script.seen.borrow().len();
@@ -223,45 +245,49 @@
         client.write_all(text.as_bytes()).await.expect("open");
         fixture.script.wait_for_requests(requests_before + 1).await;
         client.write_all(later.as_bytes()).await.expect("open");
+        // When: the client disconnects.
         client.shutdown().await.expect("open");
+        // Then: its request is cancelled at the backend.
         in_time(
             fixture.script.abandoned.subscribe().wait_for(|abandoned| *abandoned == abandoned_before + 1),
         )
         .await
         .expect("open");
-        // Its connection is closed, too, and what it wrote is no request.
+        // The connection is closed as well, and the extra bytes are not treated as a request.
         assert_eq!(read_status(&mut client).await, None);
         assert_eq!(fixture.script.seen.borrow().len(), requests_before + 1);
     }
 }
 
-/// Whether calls may be called off concerns what was sent: a connection that comes up only once the client has left
-/// carries nothing.
+/// The setting `cancelling` only concerns requests that were sent: a backend connection that is established
+/// after the client has disconnected carries no request.
 #[tokio::test]
 async fn disconnect_before_the_backend_connect_sends_nothing() {
     let (listener, backlog) = listener_with_full_backlog().await;
-    let addr = listener.local_addr().expect("bound");
+    let addr = listener.local_addr().expect("a local address");
     let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING")]).await;
     let mut settings = settings();
     settings["caps"]["cancelling"] = false.into();
     settings["caps"]["connectTimeout"] = 20_000.0.into();
     let proxy = Proxy::start_with_list_applied(&discovery, settings).await;
+    // Given: a request that waits for a backend connection, and whose client disconnects.
     let mut client = connect_tcp(proxy.addr).await;
     client.write_all(request_head("POST /once", "1").as_bytes()).await.expect("open");
     in_time(wait_for_connect_attempt(addr)).await;
     client.shutdown().await.expect("open");
-    assert_eq!(read_status(&mut client).await, None, "the proxy knows that it left");
-    // Only now does the queue get room, and the connection comes up when the system next tries.
+    assert_eq!(read_status(&mut client).await, None, "the proxy has detected the disconnect");
+    // When: the accept queue gets space, and the system establishes the connection with its next retry.
     for _ in &backlog {
         drop(in_time(listener.accept()).await.expect("queued"));
     }
-    let (mut late, _) = in_time(listener.accept()).await.expect("the proxy's");
+    let (mut late, _) = in_time(listener.accept()).await.expect("the connection of the proxy");
+    // Then: nothing is sent on it.
     let mut bytes = Vec::new();
     in_time(late.read_buf(&mut bytes)).await.expect("a close");
     assert_eq!(String::from_utf8_lossy(&bytes), "");
 }
 
-/// Each call here is refused or failed, which the log tells with a line.
+/// Sends requests that fail, each of which writes a log line, and one that is served.
 async fn make_logged_failures(proxy: &Proxy, script: &Arc<BackendScript>, count: usize) {
     for _ in 0..count {
         script.enqueue([BackendBehavior::Answer(500)]);
@@ -282,19 +308,25 @@
 #[tokio::test]
 async fn full_log_pipe_drops_lines_and_reports_the_loss() {
     let mut fixture = fixture(|_| {}).await;
-    // A pipe holds 64 KiB, and a line of these has some 80 bytes.
+    // A pipe holds 64 KiB, and a line of these has about 80 bytes.
     make_logged_failures(&fixture.proxy, &fixture.script, 2000).await;
-    let mut log = fixture.proxy.log.take().expect("held");
-    // There is room again once a part of it has been read.
+    let mut log = fixture.proxy.log.take().expect("an open log");
+    // Reading a part of it makes space again.
     for _ in 0..500 {
         in_time(log.next_line()).await.expect("readable");
     }
     make_logged_failures(&fixture.proxy, &fixture.script, 1).await;
-    while !in_time(log.next_line()).await.expect("readable").expect("it goes on").contains("were lost") {}
+    while !in_time(log.next_line())
+        .await
+        .expect("a readable log")
+        .expect("another log line")
+        .contains("were lost")
+    {}
 }
 
-/// The list at a new address may be older than what is known: a backend that was told to drain since is not sent to
-/// again. If it stays so, discovery has begun anew, and its list holds as it is.
+/// The list of a new discovery address may be older than the one held: a backend that started to drain since
+/// then gets no requests. If the address keeps serving the older list, discovery was restarted, and the list
+/// is applied.
 #[tokio::test]
 async fn older_list_after_a_move_restores_no_draining_backend() {
     let script = Arc::new(BackendScript::default());
@@ -313,18 +345,18 @@
     in_time(async { while proxy.call("look").await.1 != "a" {} }).await;
 }
 
-/// Wherever a request waits, it is not sent on once its client has left.
+/// A request is not sent after its client has disconnected, wherever it is waiting.
 #[tokio::test]
 async fn queued_request_of_a_disconnected_client_is_not_sent() {
     let upload = request_head("POST /once", "1").replace("Host: o", "Host: o\r\nContent-Length: 200000");
     let texts = [
-        // For a backend, in the balancer.
+        // In the balancer's queue for a backend.
         request_head("POST /once", "1"),
-        // The same behind another, which is of no more use.
+        // The same, with a second pipelined request behind it.
         request_head("POST /once", "1") + &request_head("POST /once", "2"),
-        // With a body still coming, too long to be kept.
+        // With an incomplete body that is too long to be buffered.
         upload.clone() + &"x".repeat(100_000),
-        // And with one that is kept.
+        // With an incomplete body that is buffered.
         upload.replace("200000", "20000") + "x",
     ];
     for text in texts {
@@ -335,7 +367,7 @@
         discovery.publish(vec![a.endpoint("DRAINING")]).await;
         let mut client = connect_tcp(proxy.addr).await;
         client.write_all(text.as_bytes()).await.expect("open");
-        // By the time that others have had answers it has been read.
+        // Once requests on later connections are answered, it has been read.
         for _ in 0..10 {
             let mut other = connect_tcp(proxy.addr).await;
             other.write_all(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n").await.expect("open");
@@ -350,7 +382,8 @@
     }
 }
 
-/// The list is followed to the last: where discovery moves, and a backend drains, while the program stops.
+/// The endpoint list is followed until the end of a graceful shutdown: the discovery address changes and a
+/// backend drains meanwhile.
 #[tokio::test]
 async fn new_configuration_applies_during_a_graceful_shutdown() {
     let script = Arc::new(BackendScript::default());
