--- a/crates/proxy/tests/crossing_requests.rs
+++ b/crates/proxy/tests/crossing_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that cross the close of a new connection: whatever closes it, its first request gets an answer.
+//! First requests that cross the close of a new connection: each gets a response, whatever caused the close.
 
 mod support;
 
@@ -10,9 +10,9 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Descriptors of the proxy: there is space for 16 clients, and for 16 to be rejected.
+/// The descriptor limit of the proxy: there is space for 16 clients, and for 16 that are being rejected.
 const DESCRIPTORS: usize = 64;
-/// Connections that cross a close.
+/// The number of connections whose requests cross a close.
 const CROSSINGS: usize = 200;
 
 struct Fixture {
@@ -40,15 +40,16 @@
     }
 }
 
-/// Sends a first request only once the proxy has decided on the connection's end: what it wrote, or the close, can be
-/// read.
+/// Sends a first request only after the proxy has decided to close the connection, so that its response or
+/// the close can be read, and returns the status of the response.
 async fn send_after_close_decision(mut stream: TcpStream, number: usize) -> Option<u16> {
     in_time(stream.readable()).await.expect("open");
-    // The other side may have closed its socket altogether.
+    // The proxy may have closed its socket completely, so that the write fails.
     let _ = stream.write_all(request_head("GET /look", &format!("{number:016x}")).as_bytes()).await;
     read_status(&mut stream).await
 }
 
+/// Does so on many connections at the same time.
 async fn send_all_after_close_decision(streams: Vec<TcpStream>) -> Vec<Option<u16>> {
     let mut crossings = JoinSet::new();
     for (number, stream) in streams.into_iter().enumerate() {
@@ -65,17 +66,17 @@
     streams
 }
 
-/// Connections that have sent nothing give way to others.
+/// Connections without a request are evicted in favor of new ones.
 #[tokio::test]
 async fn first_request_crossing_an_eviction_is_rejected() {
     let fixture = Fixture::new().await;
     let mut streams = connect_many(fixture.addr(), CROSSINGS + DESCRIPTORS).await;
-    // The oldest give way.
+    // The oldest are evicted.
     streams.truncate(CROSSINGS);
     assert_eq!(send_all_after_close_decision(streams).await, vec![Some(503); CROSSINGS]);
 }
 
-/// A connection that sends nothing for too long is closed.
+/// A connection that sends nothing until its timeout is closed.
 #[tokio::test]
 async fn first_request_crossing_a_timeout_is_rejected() {
     let fixture = Fixture::new().await;
@@ -84,7 +85,7 @@
     assert_eq!(send_all_after_close_decision(streams).await, vec![Some(503); count]);
 }
 
-/// At a planned stop, connections are closed that were never used.
+/// A graceful shutdown closes connections that were never used.
 #[tokio::test]
 async fn first_request_crossing_a_stop_is_rejected() {
     let mut fixture = Fixture::new().await;
@@ -94,7 +95,8 @@
     assert_eq!(send_all_after_close_decision(streams).await, vec![Some(503); count]);
 }
 
-/// More connections wait at the listener than can be taken when it closes, alone or beside a process that goes on.
+/// When the listener closes, its accept queue holds more connections than the proxy can accept, both without
+/// and with another process that continues.
 #[tokio::test]
 async fn backlog_requests_are_answered_when_the_listener_closes() {
     for is_upgrade in [false, true] {
--- a/crates/proxy/tests/descriptor_exhaustion.rs
+++ b/crates/proxy/tests/descriptor_exhaustion.rs
@@ -1,5 +1,6 @@
-//! The started program with all the descriptors that it may hold: whom it keeps some for. Its own limit on
-//! open files is the one that it is told, so that a descriptor too many is an error as in service.
+//! Tests of the proxy program at its descriptor limit: it reserves descriptors for discovery, backends and
+//! the admin API. The limit on open files of the process equals the configured one, so that one descriptor
+//! too many is an error, as in production.
 
 mod support;
 
@@ -17,15 +18,15 @@
 use tokio::sync::{Notify, watch};
 use tokio::task::JoinSet;
 
-/// Descriptors of the proxy.
+/// The descriptor limit of the proxy.
 const DESCRIPTORS: usize = 128;
-/// A request that crosses the notice of a drain may still be sent for so long, by the settings.
+/// The time after the notice of a drain during which a request may still be sent, by the settings.
 const DRAIN_DEADLINE: Duration = Duration::from_millis(500);
 
-/// Clients without a whole request, who come again at once when they are shut out.
+/// Clients that never send a complete request and reconnect at once when they are disconnected.
 struct ReconnectingClients {
     _tasks: JoinSet<()>,
-    /// How often one of them was shut out.
+    /// The number of times that a client was disconnected.
     disconnects: Arc<watch::Sender<usize>>,
 }
 
@@ -38,7 +39,7 @@
                 loop {
                     if let Ok(mut stream) = TcpStream::connect(addr).await {
                         let _ = stream.write_all(first_bytes.as_bytes()).await;
-                        // Shut or reset, or answered that it was too slow.
+                        // The connection is closed or reset, or rejected for being too slow.
                         let _ = stream.read_to_end(&mut Vec::new()).await;
                         disconnects.send_modify(|count| *count += 1);
                     }
@@ -49,7 +50,7 @@
         ReconnectingClients { _tasks: tasks, disconnects }
     }
 
-    /// Waits until so many more were shut out.
+    /// Waits for this many further disconnects.
     async fn wait_for_disconnects(&self, times: usize) {
         let before = *self.disconnects.borrow();
         in_time(self.disconnects.subscribe().wait_for(|n| *n >= before + times)).await.expect("open");
@@ -70,23 +71,25 @@
     format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")
 }
 
-/// Status and body of the answer to a request; nothing where the connection ends first.
+/// Sends a request and returns the status and the body of the response, or `None` if the connection ends
+/// first.
 async fn try_call(client: &mut SendRequest<Full<Bytes>>) -> Option<(u16, Bytes)> {
     client.ready().await.ok()?;
-    let request = request("look").body(Full::default()).expect("well formed");
+    let request = request("look").body(Full::default()).expect("a valid request");
     let answer = client.send_request(request).await.ok()?;
     let status = answer.status().as_u16();
     Some((status, answer.into_body().collect().await.ok()?.to_bytes()))
 }
 
-/// A request on a new connection, again where that is shut unread, as it may be in a crowd, or refused.
+/// Sends requests on new connections until one is served. Among many clients a connection may be closed
+/// unread, or its request rejected.
 async fn call_until_served(addr: SocketAddr) {
     let call =
         async { while try_call(&mut connect(addr).await).await.is_none_or(|(status, _)| status != 200) {} };
     in_time(call).await;
 }
 
-/// Clients who send one request after another, more than there is room for.
+/// Clients that send one request after another; there are more of them than the proxy has space for.
 struct BusyClients {
     tasks: JoinSet<()>,
     held_responses: Vec<Arc<Notify>>,
@@ -94,11 +97,11 @@
 }
 
 impl BusyClients {
-    /// They have been served; from now on every request that a backend gets is held there. Comes back
-    /// when there are as many as the proxy has room for.
+    /// Starts the clients and waits until they have been served. From then on each request that reaches a
+    /// backend is held there; returns once the proxy is full of them.
     async fn start_and_saturate(proxy: &Proxy, script: &Arc<BackendScript>) -> Self {
         let (mut tasks, should_stop) = (JoinSet::new(), Arc::new(AtomicBool::new(false)));
-        // Answers that were 200; requests that were rejected, or whose connection was shut.
+        // Responses with status 200; requests that were rejected or whose connection was closed.
         let [served_count, rejected] = [(); 2].map(|()| Arc::new(watch::Sender::new(0)));
         for _ in 0..DESCRIPTORS / 2 {
             let (addr, should_stop) = (proxy.addr, should_stop.clone());
@@ -129,7 +132,7 @@
         BusyClients { tasks, held_responses, should_stop }
     }
 
-    /// All of them are served once more.
+    /// Waits until each client has been served once more.
     async fn finish(mut self) {
         self.should_stop.store(true, SeqCst);
         self.held_responses.iter().for_each(|release| release.notify_one());
@@ -139,7 +142,7 @@
     }
 }
 
-/// Looks all the time how many descriptors processes hold together, and keeps the most that was seen.
+/// Samples the number of descriptors that processes hold together, and records the maximum.
 struct DescriptorWatcher {
     _task: JoinSet<()>,
     peak: Arc<AtomicUsize>,
@@ -161,8 +164,9 @@
     }
 }
 
-/// Clients fill the proxy while discovery is down. At its return the watch, the backends and the operators
-/// still get their descriptors: what was notified meanwhile holds, requests are served, and the admin API answers.
+/// Clients fill the proxy while discovery is down. When discovery recovers, the watch, the backend
+/// connections and the admin API still get their descriptors: the list change of the meantime is applied,
+/// requests are served, and the admin API answers.
 async fn check_full_while_discovery_is_down(
     mode: &str,
     down: DiscoveryBehavior,
@@ -170,7 +174,7 @@
     with_busy_clients: bool,
 ) {
     let script = Arc::new(BackendScript::default());
-    // So many that they can hold all requests at once.
+    // Enough backends to hold all requests at the same time.
     let mut backends = Vec::new();
     for name in ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l", "m", "n", "o", "p"] {
         backends.push(Backend::start(name, &script).await);
@@ -184,15 +188,18 @@
     let proxy = Proxy::start_with_command(&config(&discovery, mode), &start_command()).await;
     discovery.wait_until_applied().await;
     let watcher = DescriptorWatcher::start(&[&proxy]);
+    // Given: discovery is down, and clients fill the proxy.
     discovery.set_behavior(down).await;
     let busy_clients =
         if with_busy_clients { Some(BusyClients::start_and_saturate(&proxy, &script).await) } else { None };
     let clients = ReconnectingClients::start(proxy.addr, first_bytes);
     clients.wait_for_disconnects(2 * DESCRIPTORS).await;
     assert_eq!(proxy.call_admin("GET", "/v1/readyz").await, 200);
+    // When: discovery recovers with a changed list.
     discovery.replace_list(endpoints("DRAINING"));
     discovery.set_behavior(DiscoveryBehavior::Up).await;
     discovery.wait_until_applied().await;
+    // Then: the list is applied, the admin API answers and requests are served.
     for action in ["suspend", "resume"] {
         assert_eq!(proxy.call_admin("POST", &format!("/v1/backends/b/{action}")).await, 200);
     }
@@ -204,10 +211,10 @@
     for _ in 0..10 {
         call_until_served(proxy.addr).await;
     }
-    assert_eq!(script.requests_at("a"), before, "nothing new goes there");
+    assert_eq!(script.requests_at("a"), before, "no new request to the draining backend");
     clients.wait_for_disconnects(1).await;
     let peak = watcher.peak.load(SeqCst);
-    assert!(peak < DESCRIPTORS, "one was always free, {peak} were seen");
+    assert!(peak < DESCRIPTORS, "no descriptor was free: {peak} were open");
 }
 
 const NO_BYTES: &str = "";
@@ -242,7 +249,7 @@
     check_full_while_discovery_is_down("automatic", DiscoveryBehavior::Silent, INCOMPLETE_HEAD, true).await;
 }
 
-/// Guards against taking more connections from the closing listener than there are descriptors.
+/// Guards against accepting more connections from the closing listener than there are free descriptors.
 #[tokio::test]
 async fn shutdown_with_idle_clients_keeps_a_descriptor_free() {
     let script = Arc::new(BackendScript::default());
@@ -253,8 +260,9 @@
     let watcher = DescriptorWatcher::start(&[&proxy]);
     let clients = ReconnectingClients::start(proxy.addr, NO_BYTES);
     clients.wait_for_disconnects(2 * DESCRIPTORS).await;
+    // When: the proxy shuts down. Then: it never used its last descriptor.
     proxy.terminate().await;
     assert!(proxy.wait_for_exit().await.success());
     let peak = watcher.peak.load(SeqCst);
-    assert!(peak < DESCRIPTORS, "one was always free, {peak} were seen");
+    assert!(peak < DESCRIPTORS, "no descriptor was free: {peak} were open");
 }
