--- a/crates/proxy/tests/discovery_notification.rs
+++ b/crates/proxy/tests/discovery_notification.rs
@@ -1,5 +1,6 @@
-//! What discovery has counts as told 6 s after it could be reached, whatever the proxy's calls met before:
-//! the started program, where it must ask for its list. The only times in these tests are that term.
+//! A list change counts as notified 6 s after discovery became reachable, whatever failures the proxy's calls
+//! met before. These tests run the proxy program where it must poll for its list. This deadline is their only
+//! time bound.
 
 mod support;
 
@@ -13,7 +14,8 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// An agent that ends its first connections at their first call, then tells a list; the calls as they come.
+/// Starts an agent that closes its first connections at their first call and then serves a list. Returns the
+/// calls that it receives.
 fn start_agent(
     listener: TcpListener,
     failing_connections: usize,
@@ -22,7 +24,7 @@
     let (call_sender, calls) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         for n in 0.. {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("accept a connection");
             let (call_sender, hosts) = (call_sender.clone(), hosts.clone());
             tokio::spawn(async move {
                 let mut seen = Vec::new();
@@ -53,12 +55,12 @@
     calls
 }
 
-/// A call that comes within the term.
+/// Awaits a call and panics if it takes longer than the notification deadline.
 async fn within_deadline<T>(call: impl Future<Output = T>) -> T {
-    timeout(Duration::from_millis(NOTIFICATION_DEADLINE_MS as u64), call).await.expect("within the term")
+    timeout(Duration::from_millis(NOTIFICATION_DEADLINE_MS as u64), call).await.expect("within the deadline")
 }
 
-/// Where asking is due so rarely, a pause that follows from that alone is longer than the term.
+/// Returns settings with a poll interval so long that a pause derived from it alone exceeds the deadline.
 fn settings_with_rare_polls() -> Value {
     let mut settings = settings();
     settings["discovery"] = "subscribe".into();
@@ -66,18 +68,18 @@
     settings
 }
 
-/// Waits until the log says so.
+/// Waits for a log line that contains `line_part`.
 async fn wait_for_log_line(proxy: &mut Proxy, line_part: &str) {
-    let log = proxy.log.as_mut().expect("it is read");
-    while !log.next_line().await.expect("readable").expect("it goes on").contains(line_part) {}
+    let log = proxy.log.as_mut().expect("an open log");
+    while !log.next_line().await.expect("a readable log").expect("another log line").contains(line_part) {}
 }
 
-/// Waits until a call shows that the list is held.
+/// Waits for a call which shows that the proxy holds the list.
 async fn wait_until_list_is_held(calls: &mut mpsc::UnboundedReceiver<String>) {
-    while !in_time(calls.recv()).await.expect("it calls").contains("after=9&") {}
+    while !in_time(calls.recv()).await.expect("a poll").contains("after=9&") {}
 }
 
-/// A start with discovery down, its return, and calls that fail still.
+/// The proxy starts while discovery is down; discovery recovers, but its first calls still fail.
 #[tokio::test]
 async fn recovered_discovery_is_polled_within_the_deadline() {
     let script = Arc::new(BackendScript::default());
@@ -93,21 +95,22 @@
     for _ in 0..20 {
         assert_eq!(proxy.call("look").await.0, 200);
     }
-    assert!(script.requests_at("a") > 0, "what it knew is used");
+    assert!(script.requests_at("a") > 0, "the configured list is used");
+    // When: discovery recovers and fails three calls. Then: it is polled again within the deadline each time.
     let listener = socket.listen(16).expect("listen");
     let mut calls = start_agent(listener, 3, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
     for _ in 0..4 {
-        within_deadline(calls.recv()).await.expect("it calls");
+        within_deadline(calls.recv()).await.expect("a poll");
     }
     wait_until_list_is_held(&mut calls).await;
     let before = script.requests_at("a");
     for _ in 0..20 {
         assert_eq!(proxy.call("look").await, (200, "b".into()));
     }
-    assert_eq!(script.requests_at("a"), before, "nothing new to the drained one");
+    assert_eq!(script.requests_at("a"), before, "no new request to the draining backend");
 }
 
-/// A new configuration names an address where nobody answers yet.
+/// A new configuration names a discovery address that refuses connections at first.
 #[tokio::test]
 async fn late_new_address_is_polled_within_the_deadline() {
     let script = Arc::new(BackendScript::default());
@@ -119,32 +122,34 @@
     config["discovery"] = address.to_string().into();
     proxy.reload(&config.to_string(), "configuration applied").await;
     within_deadline(wait_for_log_line(&mut proxy, "refused")).await;
+    // When: the new address becomes reachable. Then: it is polled within the deadline.
     let listener = socket.listen(16).expect("listen");
     let mut calls = start_agent(listener, 0, vec![a.endpoint("DRAINING"), b.endpoint("SERVING")]);
-    within_deadline(calls.recv()).await.expect("it calls");
+    within_deadline(calls.recv()).await.expect("a poll");
     wait_until_list_is_held(&mut calls).await;
     let before = script.requests_at("a");
     for _ in 0..20 {
         assert_eq!(proxy.call("look").await, (200, "b".into()));
     }
-    assert_eq!(script.requests_at("a"), before, "nothing new to the drained one");
+    assert_eq!(script.requests_at("a"), before, "no new request to the draining backend");
 }
 
-/// Connects to the agent neither succeed nor fail at first.
+/// Connects to the agent neither succeed nor fail at first, because its accept queue is full.
 #[tokio::test]
 async fn unresponsive_agent_is_polled_within_the_deadline() {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
     let (listener, _queue) = listener_with_full_backlog().await;
-    let address = listener.local_addr().expect("bound");
+    let address = listener.local_addr().expect("a local address");
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": address.to_string(),
                         "seed": "8c1f30d27a5be964",
                         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
                         "settings": settings_with_rare_polls()});
     let mut proxy = Proxy::start_with_command(&config, "exec \"$0\"").await;
     within_deadline(wait_for_log_line(&mut proxy, "no connection in time")).await;
+    // When: the agent accepts connections. Then: it is polled within the deadline.
     let mut calls = start_agent(listener, 0, vec![b.endpoint("SERVING")]);
-    within_deadline(calls.recv()).await.expect("it calls");
+    within_deadline(calls.recv()).await.expect("a poll");
     wait_until_list_is_held(&mut calls).await;
     assert_eq!(proxy.call("look").await, (200, "b".into()));
 }
--- a/crates/proxy/tests/drained_tier.rs
+++ b/crates/proxy/tests/drained_tier.rs
@@ -1,4 +1,5 @@
-//! Drains that a list tells in its own ways: of a whole tier, which names nobody then, and by entries that lack the rest.
+//! Drains that an endpoint list expresses in special ways: an empty full list drains a whole tier, and an
+//! entry may drain its backend although its other fields are missing or invalid.
 
 mod support;
 
@@ -14,10 +15,10 @@
 
 /// The drain deadline of the settings.
 const DRAIN_DEADLINE: Duration = Duration::from_millis(500);
-/// Discovery is away for so long.
+/// The length of a discovery outage.
 const OUTAGE: Duration = Duration::from_secs(1);
 
-/// Settings by which a request that no backend can take is rejected soon.
+/// Returns settings that reject a request soon if no backend can take it.
 fn settings_with_short_queue_wait(mode: &str) -> Value {
     let mut settings = settings();
     settings["discovery"] = mode.into();
@@ -28,7 +29,7 @@
     settings
 }
 
-/// Guards against new work at a tier that drained while discovery was away.
+/// Guards against new requests to a tier that drained during a discovery outage.
 #[tokio::test]
 async fn tier_drained_during_an_outage_gets_no_requests() {
     for mode in ["automatic", "subscribe"] {
@@ -38,12 +39,14 @@
             let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
             let proxy =
                 Proxy::start_with_list_applied(&discovery, settings_with_short_queue_wait(mode)).await;
+            // Given: a tier that drains during an outage of discovery.
             discovery.set_behavior(outage).await;
             discovery.replace_list(Vec::new());
             sleep(OUTAGE).await;
+            // When: discovery recovers.
             let full_lists_before = discovery.full_list_requests.load(SeqCst);
             discovery.set_behavior(DiscoveryBehavior::Up).await;
-            // A watch that was not answered meanwhile tells it, too.
+            // A watch call that was unanswered during the outage may deliver the list as well.
             let list_arrived = async {
                 while discovery.full_list_requests.load(SeqCst) == full_lists_before
                     && !is_list_applied(&discovery).await
@@ -52,46 +55,47 @@
                 }
             };
             in_time(list_arrived).await;
+            // Then: the empty list is applied within the drain deadline, and all requests are rejected.
             let applied = timeout(DRAIN_DEADLINE, discovery.wait_until_applied()).await;
-            assert!(applied.is_ok(), "{mode}: the list is not believed");
+            assert!(applied.is_ok(), "{mode}: the list is not applied");
             let before = script.seen.borrow().len();
             for _ in 0..5 {
                 assert_eq!(proxy.call("look").await.0, 503, "{mode}");
             }
             assert_eq!(script.seen.borrow().len(), before, "{mode}");
-            // The first backend that is named again is used at once.
+            // The first backend that is listed again is used at once.
             discovery.publish(vec![b.endpoint("SERVING")]).await;
             assert_eq!(proxy.call("look").await, (200, "b".into()), "{mode}");
         }
     }
 }
 
-/// Whether the present list is held by now.
+/// Returns whether the proxy holds the current list.
 async fn is_list_applied(discovery: &Discovery) -> bool {
     timeout(Duration::ZERO, discovery.wait_until_applied()).await.is_ok()
 }
 
-/// What discovery does with a call.
+/// The scripted answer to a discovery call.
 #[derive(Clone)]
 enum DiscoveryAnswer {
-    /// Answers a whole list of these backends.
+    /// Answers with a version and a full list of these backends.
     FullList(u64, Vec<Value>),
-    /// Answers these changes.
+    /// Answers with a version and these changes.
     Changes(u64, Vec<Value>),
-    /// Ends the connection without an answer.
+    /// Closes the connection without an answer.
     Close,
 }
 
-/// Discovery that does with its n-th call what the n-th answer says, and answers no call behind the last; how many
-/// calls have come.
+/// Starts a discovery agent that handles its n-th call by the n-th answer and leaves further calls
+/// unanswered. Returns its address and the number of calls received.
 async fn scripted_discovery(answers: Vec<DiscoveryAnswer>) -> (std::net::SocketAddr, watch::Receiver<usize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+    let address = listener.local_addr().expect("a local address");
     let (calls, call_count) = watch::channel(0);
     let (calls, answers) = (Arc::new(calls), Arc::new(answers));
     tokio::spawn(async move {
         loop {
-            let (mut stream, _) = listener.accept().await.expect("a connection");
+            let (mut stream, _) = listener.accept().await.expect("accept a connection");
             let (calls, answers) = (calls.clone(), answers.clone());
             tokio::spawn(async move {
                 let mut received = Vec::new();
@@ -119,7 +123,7 @@
     (address, call_count)
 }
 
-/// A started proxy whose discovery gives these answers, and has given them all.
+/// Starts a proxy whose discovery gives these answers, and waits until all were given.
 async fn proxy_after_answers(answers: Vec<DiscoveryAnswer>) -> Proxy {
     let last = answers.len();
     let (address, mut calls) = scripted_discovery(answers).await;
@@ -132,7 +136,7 @@
     proxy
 }
 
-/// Guards against an outage by one list of nobody, as discovery may give it that has just started.
+/// Guards against an outage caused by a single empty list, which a discovery that has just started may send.
 #[tokio::test]
 async fn revoked_empty_list_rejects_no_request() {
     let script = Arc::new(BackendScript::default());
@@ -149,7 +153,7 @@
     }
 }
 
-/// Guards against new work at a drained tier where discovery falls silent right behind the list of nobody.
+/// Guards against new requests to a drained tier if discovery fails right after it has sent the empty list.
 #[tokio::test]
 async fn empty_list_applies_when_the_next_poll_fails() {
     let script = Arc::new(BackendScript::default());
@@ -166,7 +170,8 @@
     assert_eq!(script.seen.borrow().len(), 0);
 }
 
-/// Guards against an outage by a discovery that lost its list: one older than the list that is held names nobody.
+/// Guards against an outage caused by a discovery that lost its list: it sends an empty list that is older
+/// than the one held.
 #[tokio::test]
 async fn older_empty_list_rejects_no_request() {
     let script = Arc::new(BackendScript::default());
@@ -183,7 +188,7 @@
     }
 }
 
-/// Guards against new work at a draining backend whose entry lacks what only a serving one needs.
+/// Guards against new requests to a draining backend whose entry lacks fields that only a serving one needs.
 #[tokio::test]
 async fn drain_applies_when_the_rest_of_its_entry_is_invalid() {
     let script = Arc::new(BackendScript::default());
