--- a/crates/proxy/tests/client_disconnect.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! For a client that has left nothing more is sent, wherever its request or the next attempt at it waits by then. The
-//! program is told of the end of a wait as early as of its client's leave, or earlier.
+//! Nothing more is sent for a client that has disconnected, wherever its request or the next attempt is
+//! waiting. In these tests the proxy learns of the end of the wait before the disconnect or at the same time.
 
 mod support;
 
@@ -12,8 +12,8 @@
 use tokio::sync::Notify;
 use tokio::task::yield_now;
 
-/// So many requests at once are surely let through by a limit that has learned nothing yet.
-const AT_ONCE: usize = 7;
+/// A number of concurrent requests that the initial concurrency limit certainly admits.
+const CONCURRENT_REQUESTS: usize = 7;
 
 struct Fixture {
     script: Arc<BackendScript>,
@@ -26,145 +26,162 @@
 async fn fixture() -> Fixture {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-    let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
-    let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    let discovery = Discovery::start(vec![a.endpoint("SERVING"), b.endpoint("SERVING")]).await;
+    let proxy = Proxy::start_with_list_applied(&discovery, settings()).await;
     Fixture { script, a, b, _discovery: discovery, proxy }
 }
 
-/// How a client leaves.
+/// The way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leave {
-    /// Ends its sending.
-    End,
-    /// Resets its connection.
+enum Disconnect {
+    /// Closes its sending direction.
+    Shutdown,
+    /// Resets the connection.
     Reset,
 }
 
-/// Leaves. What is left of the connection on this side can still be read.
-fn leave(client: TcpStream, how: Leave) -> Option<TcpStream> {
+/// Disconnects a client. Returns the connection if it can still be read.
+fn disconnect(client: TcpStream, how: Disconnect) -> Option<TcpStream> {
     let socket = SockRef::from(&client);
     match how {
-        Leave::End => socket.shutdown(std::net::Shutdown::Write).expect("open"),
-        Leave::Reset => socket.set_linger(Some(Duration::ZERO)).expect("open"),
+        Disconnect::Shutdown => socket.shutdown(std::net::Shutdown::Write).expect("open"),
+        Disconnect::Reset => socket.set_linger(Some(Duration::ZERO)).expect("open"),
     }
-    matches!(how, Leave::End).then_some(client)
+    matches!(how, Disconnect::Shutdown).then_some(client)
 }
 
-/// Waits until the system, on the proxy's side, knows of each client's end.
-async fn known(proxy: &Proxy, clients: &[u16]) {
-    let open = |row: &Row| {
-        row.local == proxy.addr.port() && clients.contains(&row.remote) && row.state == ESTABLISHED
+/// Waits until the system has received each client's FIN or RST on the proxy's side.
+async fn wait_until_closes_arrived(proxy: &Proxy, clients: &[u16]) {
+    let is_open = |row: &TcpTableEntry| {
+        row.local_port == proxy.addr.port() && clients.contains(&row.remote_port) && row.state == ESTABLISHED
     };
     in_time(async {
-        while table().iter().any(open) {
+        while tcp_table().iter().any(is_open) {
             yield_now().await;
         }
     })
     .await;
 }
 
-fn port(client: &TcpStream) -> u16 {
-    client.local_addr().expect("bound").port()
+fn local_port(client: &TcpStream) -> u16 {
+    client.local_addr().expect("a local address").port()
 }
 
-/// By the time that others have had answers, what came before them has been read.
-async fn others_are_answered(proxy: &Proxy, others: usize) {
-    for _ in 0..others {
-        let mut other = connected(proxy.addr).await;
+/// Sends health checks on new connections. Once they are answered, the proxy has read what arrived before
+/// them.
+async fn check_health_on_new_connections(proxy: &Proxy, count: usize) {
+    for _ in 0..count {
+        let mut other = connect_tcp(proxy.addr).await;
         other.write_all(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n").await.expect("open");
-        assert_eq!(status(&mut other).await, Some(200));
+        assert_eq!(read_status(&mut other).await, Some(200));
     }
 }
 
-/// The end of what its client sends lies behind bytes that nobody reads yet, as an attempt fails.
+/// An attempt fails while the client's FIN is buffered behind bytes that the proxy hasn't read yet.
 #[tokio::test]
-async fn a_retry_is_not_begun_for_a_client_that_disconnected_behind_unread_bytes() {
-    let s = fixture().await;
+async fn no_retry_for_a_disconnect_behind_unread_bytes() {
+    let fixture = fixture().await;
     for n in 0..5 {
         let release = Arc::new(Notify::new());
-        let wait_for_requests = s.script.seen.borrow().len();
-        s.script.give([BackendBehavior::DeclineLater(release.clone())]);
-        let mut client = connected(s.proxy.addr).await;
-        client.write_all(call("GET /look", &format!("gone-{n}")).as_bytes()).await.expect("open");
-        s.script.wait_for_requests(wait_for_requests + 1).await;
+        let requests_before = fixture.script.seen.borrow().len();
+        fixture.script.enqueue([BackendBehavior::HoldThenDecline(release.clone())]);
+        let mut client = connect_tcp(fixture.proxy.addr).await;
+        client.write_all(request_head("GET /look", &format!("gone-{n}")).as_bytes()).await.expect("open");
+        fixture.script.wait_for_requests(requests_before + 1).await;
         client.write_all("x".repeat(60_000).as_bytes()).await.expect("open");
-        others_are_answered(&s.proxy, 10).await;
-        let mut client = leave(client, Leave::End).expect("open");
-        // By then the end has come too, behind the bytes.
-        others_are_answered(&s.proxy, 1).await;
+        check_health_on_new_connections(&fixture.proxy, 10).await;
+        // When: the client disconnects, and then the attempt fails.
+        let mut client = disconnect(client, Disconnect::Shutdown).expect("open");
+        // By then the FIN has arrived too, behind the bytes.
+        check_health_on_new_connections(&fixture.proxy, 1).await;
         release.notify_one();
-        assert_eq!(status(&mut client).await, None, "{n}: the proxy knows that it left");
-        assert_eq!(s.proxy.call("look").await.0, 200);
+        // Then: there is no second attempt.
+        assert_eq!(read_status(&mut client).await, None, "{n}: the proxy has detected the disconnect");
+        assert_eq!(fixture.proxy.call("look").await.0, 200);
         assert_eq!(
-            s.script.seen.borrow().len(),
-            wait_for_requests + 2,
-            "{n}: its one attempt, and the other's"
+            fixture.script.seen.borrow().len(),
+            requests_before + 2,
+            "{n}: its one attempt, and that of the other client"
         );
     }
 }
 
-/// Many attempts fail and their clients leave in what is one turn to the program. It hears of the failures first.
+/// Many attempts fail and their clients disconnect in one turn of the proxy's event loop, which sees the
+/// failures first.
 #[tokio::test]
-async fn no_further_attempts_are_begun_for_clients_that_leave_in_the_turn_of_a_failure() {
-    for how in [Leave::End, Leave::Reset] {
-        let s = fixture().await;
-        let release: Vec<_> = (0..AT_ONCE).map(|_| Arc::new(Notify::new())).collect();
-        s.script.give(release.iter().cloned().map(BackendBehavior::DeclineLater));
+async fn no_retry_for_a_disconnect_in_the_turn_of_a_failure() {
+    for how in [Disconnect::Shutdown, Disconnect::Reset] {
+        let fixture = fixture().await;
+        let releases: Vec<_> = (0..CONCURRENT_REQUESTS).map(|_| Arc::new(Notify::new())).collect();
+        fixture.script.enqueue(releases.iter().cloned().map(BackendBehavior::HoldThenDecline));
+        // Given: requests that are held at the backends.
         let mut clients = Vec::new();
-        for n in 0..AT_ONCE {
-            let mut client = connected(s.proxy.addr).await;
-            client.write_all(call("GET /look", &n.to_string()).as_bytes()).await.expect("open");
+        for n in 0..CONCURRENT_REQUESTS {
+            let mut client = connect_tcp(fixture.proxy.addr).await;
+            client.write_all(request_head("GET /look", &n.to_string()).as_bytes()).await.expect("open");
             clients.push(client);
         }
-        s.script.wait_for_requests(AT_ONCE).await;
-        s.proxy.pause().await;
-        release.iter().for_each(|release| release.notify_one());
-        let backends = [s.a.addr.port(), s.b.addr.port()];
-        let failed = || table().into_iter().filter(|r| backends.contains(&r.remote) && r.unread > 0).count();
+        fixture.script.wait_for_requests(CONCURRENT_REQUESTS).await;
+        // When: they fail and their clients disconnect in one turn of the proxy.
+        fixture.proxy.pause().await;
+        releases.iter().for_each(|release| release.notify_one());
+        let backends = [fixture.a.addr.port(), fixture.b.addr.port()];
+        let failed_attempts = || {
+            tcp_table()
+                .into_iter()
+                .filter(|r| backends.contains(&r.remote_port) && r.unread_bytes > 0)
+                .count()
+        };
         in_time(async {
-            while failed() < AT_ONCE {
+            while failed_attempts() < CONCURRENT_REQUESTS {
                 yield_now().await;
             }
         })
         .await;
-        let ports: Vec<u16> = clients.iter().map(port).collect();
-        let mut left: Vec<_> = clients.into_iter().filter_map(|client| leave(client, how)).collect();
-        known(&s.proxy, &ports).await;
-        s.proxy.resume_process().await;
-        for client in &mut left {
-            assert_eq!(status(client).await, None, "{how:?}");
+        let ports: Vec<u16> = clients.iter().map(local_port).collect();
+        let mut closing: Vec<_> = clients.into_iter().filter_map(|client| disconnect(client, how)).collect();
+        wait_until_closes_arrived(&fixture.proxy, &ports).await;
+        fixture.proxy.resume_process().await;
+        // Then: there are no further attempts.
+        for client in &mut closing {
+            assert_eq!(read_status(client).await, None, "{how:?}");
         }
-        assert_eq!(s.proxy.call("look").await.0, 200);
-        assert_eq!(s.script.seen.borrow().len(), AT_ONCE + 1, "{how:?}");
+        assert_eq!(fixture.proxy.call("look").await.0, 200);
+        assert_eq!(fixture.script.seen.borrow().len(), CONCURRENT_REQUESTS + 1, "{how:?}");
     }
 }
 
-/// A request and its client's leave are found together: on a connection that waits at the listener, on one that is
-/// open, and with two requests in one.
+/// The proxy finds a request and its client's disconnect at the same time: on a connection in the accept
+/// queue, on an open connection, and behind two pipelined requests.
 #[tokio::test]
-async fn a_request_whose_client_disconnected_before_it_was_read_is_not_sent() {
-    let s = fixture().await;
-    let mut open = connected(s.proxy.addr).await;
-    open.write_all(call("GET /look", "first").as_bytes()).await.expect("open");
-    assert_eq!(status(&mut open).await, Some(200));
-    s.proxy.pause().await;
-    let queued = connected(s.proxy.addr).await;
-    let two = connected(s.proxy.addr).await;
-    let (mut left, mut ports) = (Vec::new(), Vec::new());
-    let behind = call("POST /once", "three") + &call("POST /once", "four");
-    for (mut client, text) in
-        [(open, call("POST /once", "one")), (queued, call("POST /once", "two")), (two, behind)]
-    {
+async fn request_read_after_its_client_disconnected_is_not_sent() {
+    let fixture = fixture().await;
+    // Given: one open connection.
+    let mut open = connect_tcp(fixture.proxy.addr).await;
+    open.write_all(request_head("GET /look", "first").as_bytes()).await.expect("open");
+    assert_eq!(read_status(&mut open).await, Some(200));
+    // When: clients send requests and disconnect while the proxy is paused.
+    fixture.proxy.pause().await;
+    let queued = connect_tcp(fixture.proxy.addr).await;
+    let pipelining = connect_tcp(fixture.proxy.addr).await;
+    let (mut closing, mut ports) = (Vec::new(), Vec::new());
+    let pipelined = request_head("POST /once", "three") + &request_head("POST /once", "four");
+    for (mut client, text) in [
+        (open, request_head("POST /once", "one")),
+        (queued, request_head("POST /once", "two")),
+        (pipelining, pipelined),
+    ] {
         client.write_all(text.as_bytes()).await.expect("open");
-        ports.push(port(&client));
-        left.extend(leave(client, Leave::End));
+        ports.push(local_port(&client));
+        closing.extend(disconnect(client, Disconnect::Shutdown));
     }
-    known(&s.proxy, &ports).await;
-    s.proxy.resume_process().await;
-    for client in &mut left {
-        // What the proxy says to one that left is of no matter, as long as it lets go of it.
-        while status(client).await.is_some() {}
+    wait_until_closes_arrived(&fixture.proxy, &ports).await;
+    fixture.proxy.resume_process().await;
+    // Then: the requests are not sent to a backend.
+    for client in &mut closing {
+        // The proxy may send a response to the disconnected client, but it must close the connection.
+        while read_status(client).await.is_some() {}
     }
-    assert_eq!(s.proxy.call("look").await.0, 200);
-    assert_eq!(s.script.seen.borrow().len(), 2, "the first, and the other's");
+    assert_eq!(fixture.proxy.call("look").await.0, 200);
+    assert_eq!(fixture.script.seen.borrow().len(), 2, "the first request, and that of the other client");
 }
