--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -20,7 +20,7 @@
     proxy: Proxy,
 }
 
-async fn fixture(settings: serde_json::Value) -> Fixture {
+async fn start_fixture(settings: serde_json::Value) -> Fixture {
     let script = Arc::new(BackendScript::default());
     let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let discovery = Discovery::start(vec![a.line("SERVING"), b.line("SERVING")]).await;
@@ -30,22 +30,22 @@
 
 /// Settings with `cap` set to `value`.
 fn with_cap(cap: &str, value: serde_json::Value) -> serde_json::Value {
-    let mut s = settings();
-    s["caps"][cap] = value;
-    s
+    let mut settings = settings();
+    settings["caps"][cap] = value;
+    settings
 }
 
 #[tokio::test]
-async fn a_call_is_served_and_goes_on_as_it_came() {
-    let s = fixture(settings()).await;
+async fn request_is_forwarded_unchanged_and_served() {
+    let fixture = start_fixture(settings()).await;
     let body = "a claim".repeat(9000);
     let call = request("keep").body(Full::from(body.clone())).expect("well formed");
     let id = call.headers()["req-id"].clone();
-    let (status, answer) = s.proxy.client().await.send(call).await;
+    let (status, answer) = fixture.proxy.client().await.send(call).await;
     assert_eq!(status, 200);
-    let seen = s.script.seen.borrow();
-    let [(name, head, wait_for_requests)] = &seen[..] else { panic!("it runs once") };
-    assert_eq!((answer.as_str(), wait_for_requests), (*name, &body.into()));
+    let seen = fixture.script.seen.borrow();
+    let [(name, head, body_received)] = &seen[..] else { panic!("it runs once") };
+    assert_eq!((answer.as_str(), body_received), (*name, &body.into()));
     assert_eq!((head.method.as_str(), head.uri.to_string().as_str()), ("POST", "/keep?k=7f3a"));
     assert_eq!(
         (&head.headers["req-id"], &head.headers["idempotency-key"]),
@@ -56,42 +56,42 @@
 }
 
 #[tokio::test]
-async fn what_never_ran_is_sent_again_whatever_its_class() {
-    let s = fixture(settings()).await;
+async fn declined_request_is_retried_whatever_its_class() {
+    let fixture = start_fixture(settings()).await;
     for (n, status) in [503, 504].into_iter().enumerate() {
-        s.script.give([BackendBehavior::Decline(status)]);
-        assert_eq!(s.proxy.call("once").await.0, 200);
-        assert_eq!(s.script.seen.borrow().len(), 2 * (n + 1));
+        fixture.script.give([BackendBehavior::Decline(status)]);
+        assert_eq!(fixture.proxy.call("once").await.0, 200);
+        assert_eq!(fixture.script.seen.borrow().len(), 2 * (n + 1));
     }
 }
 
 /// An unsafe request that may have run is neither sent again nor refused; a safe one is sent again.
 #[tokio::test]
-async fn what_may_have_run_is_sent_again_only_if_that_is_safe() {
-    for order in [
+async fn possibly_executed_request_is_retried_only_if_safe() {
+    for behavior in [
         || BackendBehavior::Answer(500),
         || BackendBehavior::Answer(503),
         || BackendBehavior::Answer(429),
         || BackendBehavior::Break,
         || BackendBehavior::Half,
     ] {
-        let s = fixture(settings()).await;
-        s.script.give([order()]);
-        assert_eq!(s.proxy.call("once").await.0, 502);
-        assert_eq!(s.script.seen.borrow().len(), 1);
+        let fixture = start_fixture(settings()).await;
+        fixture.script.give([behavior()]);
+        assert_eq!(fixture.proxy.call("once").await.0, 502);
+        assert_eq!(fixture.script.seen.borrow().len(), 1);
         for class in ["look", "keep"] {
-            let before = s.script.seen.borrow().len();
-            s.script.give([order()]);
-            let (status, body) = s.proxy.call(class).await;
+            let before = fixture.script.seen.borrow().len();
+            fixture.script.give([behavior()]);
+            let (status, body) = fixture.proxy.call(class).await;
             assert_eq!((status, body.len()), (200, 1));
-            assert_eq!(s.script.seen.borrow().len(), before + 2);
+            assert_eq!(fixture.script.seen.borrow().len(), before + 2);
         }
     }
 }
 
 /// `b` declines first, so that the next attempt must go to the other, which can't be reached; after that `b`
 /// serves. Only an ending that proves that nothing ran lets an unsafe request come that far.
-async fn goes_round(addr: std::net::SocketAddr) {
+async fn assert_retried_on_another_backend(addr: std::net::SocketAddr) {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
     let discovery = Discovery::start(vec![line("a", addr, "SERVING"), b.line("SERVING")]).await;
@@ -102,71 +102,71 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_proves_that_nothing_ran() {
+async fn request_is_retried_after_a_refused_connection() {
     let (_held, addr) = refusing();
-    goes_round(addr).await;
+    assert_retried_on_another_backend(addr).await;
 }
 
 #[tokio::test]
-async fn a_connection_that_never_comes_up_proves_that_nothing_ran() {
+async fn request_is_retried_after_a_connect_timeout() {
     let (listener, _held) = silent().await;
-    goes_round(listener.local_addr().expect("bound")).await;
+    assert_retried_on_another_backend(listener.local_addr().expect("bound")).await;
 }
 
 #[tokio::test]
-async fn connections_are_kept_and_one_that_was_closed_carries_nothing() {
-    let s = fixture(settings()).await;
-    let mut client = s.proxy.client().await;
+async fn connections_are_reused_until_the_backend_closes_them() {
+    let fixture = start_fixture(settings()).await;
+    let mut client = fixture.proxy.client().await;
     for _ in 0..20 {
         assert_eq!(client.call("once").await.0, 200);
     }
-    let connections = || s.a.total() + s.b.total();
+    let connections = || fixture.a.total() + fixture.b.total();
     assert!(connections() <= 2, "{} connections", connections());
     // The backends' idle close must not become a reset, which would fail an unsafe request.
-    s.a.close_idle().await;
-    s.b.close_idle().await;
+    fixture.a.close_idle().await;
+    fixture.b.close_idle().await;
     for _ in 0..20 {
         assert_eq!(client.call("once").await.0, 200);
     }
 }
 
 #[tokio::test]
-async fn idle_connections_are_closed_before_the_backend_does() {
-    let s = fixture(with_cap("connIdle", 3000.0.into())).await;
-    assert_eq!(s.proxy.call("look").await.0, 200);
+async fn idle_connections_are_closed_by_the_proxy() {
+    let fixture = start_fixture(with_cap("connIdle", 3000.0.into())).await;
+    assert_eq!(fixture.proxy.call("look").await.0, 200);
     // The backends close nothing by themselves.
-    s.a.all_closed().await;
-    s.b.all_closed().await;
-    assert_eq!(s.proxy.call("once").await.0, 200);
+    fixture.a.all_closed().await;
+    fixture.b.all_closed().await;
+    assert_eq!(fixture.proxy.call("once").await.0, 200);
 }
 
 #[tokio::test]
-async fn a_restarted_backend_is_not_sent_to_on_old_connections() {
-    let s = fixture(settings()).await;
+async fn backend_restart_closes_its_old_connections() {
+    let fixture = start_fixture(settings()).await;
     for _ in 0..20 {
-        assert_eq!(s.proxy.call("once").await.0, 200);
+        assert_eq!(fixture.proxy.call("once").await.0, 200);
     }
-    let (mut a, mut b) = (s.a.line("SERVING"), s.b.line("SERVING"));
+    let (mut a, mut b) = (fixture.a.line("SERVING"), fixture.b.line("SERVING"));
     (a["born_ms"], b["born_ms"]) = (1.0.into(), 1.0.into());
-    s.discovery.publish(vec![a, b]).await;
-    s.a.all_closed().await;
-    s.b.all_closed().await;
-    assert_eq!(s.proxy.call("once").await.0, 200);
+    fixture.discovery.publish(vec![a, b]).await;
+    fixture.a.all_closed().await;
+    fixture.b.all_closed().await;
+    assert_eq!(fixture.proxy.call("once").await.0, 200);
 }
 
 /// The connections that a burst leaves behind grow old only if calls keep to the ones used last.
 #[tokio::test]
-async fn connections_that_are_not_needed_are_left_to_grow_old() {
+async fn surplus_connections_become_idle_and_are_closed() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.line("SERVING")]).await;
     let proxy = Proxy::wait_until_applied(&discovery, with_cap("connIdle", 3000.0.into())).await;
     let release = Arc::new(Notify::new());
     script.give([BackendBehavior::Hold(release.clone()), BackendBehavior::Hold(release.clone())]);
-    let (mut one, mut two) = (proxy.client().await, proxy.client().await);
+    let (mut first, mut second) = (proxy.client().await, proxy.client().await);
     let held = [
-        tokio::spawn(async move { one.call("look").await }),
-        tokio::spawn(async move { two.call("look").await }),
+        tokio::spawn(async move { first.call("look").await }),
+        tokio::spawn(async move { second.call("look").await }),
     ];
     script.wait_for_requests(2).await;
     release.notify_one();
@@ -186,30 +186,31 @@
 }
 
 #[tokio::test]
-async fn nothing_new_goes_to_a_backend_that_drains_and_what_it_has_is_finished() {
-    let s = fixture(settings()).await;
+async fn draining_backend_finishes_requests_and_gets_no_new_ones() {
+    let fixture = start_fixture(settings()).await;
     let release = Arc::new(Notify::new());
-    s.script.give([BackendBehavior::Hold(release.clone())]);
-    let mut client = s.proxy.client().await;
-    let held = tokio::spawn(async move { client.call("once").await });
-    s.script.wait_for_requests(1).await;
-    let busy = s.script.seen.borrow()[0].0;
-    let (drains, other) = if busy == "a" { (&s.a, &s.b) } else { (&s.b, &s.a) };
-    s.discovery.publish(vec![drains.line("DRAINING"), other.line("SERVING")]).await;
+    fixture.script.give([BackendBehavior::Hold(release.clone())]);
+    let mut client = fixture.proxy.client().await;
+    let held_call = tokio::spawn(async move { client.call("once").await });
+    fixture.script.wait_for_requests(1).await;
+    let busy_name = fixture.script.seen.borrow()[0].0;
+    let (draining, other) =
+        if busy_name == "a" { (&fixture.a, &fixture.b) } else { (&fixture.b, &fixture.a) };
+    fixture.discovery.publish(vec![draining.line("DRAINING"), other.line("SERVING")]).await;
     for _ in 0..20 {
-        assert_eq!(s.proxy.call("look").await, (200, other.name.into()));
+        assert_eq!(fixture.proxy.call("look").await, (200, other.name.into()));
     }
     release.notify_one();
-    assert_eq!(held.await.expect("no panic"), (200, busy.into()));
+    assert_eq!(held_call.await.expect("no panic"), (200, busy_name.into()));
     // Its connection is not kept either: nothing will go over it.
-    drains.all_closed().await;
-    s.discovery.publish(vec![drains.line("SERVING"), other.line("DRAINING")]).await;
-    assert_eq!(s.proxy.call("look").await, (200, drains.name.into()));
+    draining.all_closed().await;
+    fixture.discovery.publish(vec![draining.line("SERVING"), other.line("DRAINING")]).await;
+    assert_eq!(fixture.proxy.call("look").await, (200, draining.name.into()));
 }
 
 #[tokio::test]
-async fn a_connect_that_outlasts_the_grace_of_a_drain_carries_nothing() {
-    let (listener, held) = silent().await;
+async fn connect_completed_after_the_drain_grace_is_not_used() {
+    let (listener, queue_fillers) = silent().await;
     let addr = listener.local_addr().expect("bound");
     let discovery = Discovery::start(vec![line("a", addr, "SERVING")]).await;
     let proxy = Proxy::wait_until_applied(&discovery, with_cap("connectTimeout", 20_000.0.into())).await;
@@ -219,16 +220,16 @@
     let b = Backend::start("b", &script).await;
     in_time(connecting(addr)).await;
     discovery.publish(vec![line("a", addr, "DRAINING"), b.line("SERVING")]).await;
-    let told = Instant::now();
+    let drain_published_at = Instant::now();
     tokio::time::sleep(Duration::from_millis(600)).await;
     // Only now does the queue get room, and the connection comes up when the system next tries.
-    for _ in &held {
+    for _ in &queue_fillers {
         drop(in_time(listener.accept()).await.expect("queued"));
     }
-    let (mut late, _) = in_time(listener.accept()).await.expect("the proxy's");
-    assert!(told.elapsed() > Duration::from_millis(500));
+    let (mut late_connection, _) = in_time(listener.accept()).await.expect("the proxy's");
+    assert!(drain_published_at.elapsed() > Duration::from_millis(500));
     assert_eq!(
-        in_time(late.read(&mut [0; 64])).await.expect("closed"),
+        in_time(late_connection.read(&mut [0; 64])).await.expect("closed"),
         0,
         "something was sent after the grace"
     );
@@ -236,84 +237,87 @@
 }
 
 /// So many attempts' connections are closed: that is seen long before so many other calls are served.
-async fn given_up_soon(s: &Fixture, attempts: usize) {
+async fn assert_cancelled_soon(fixture: &Fixture, attempts: usize) {
     for _ in 0..100 {
-        assert_eq!(s.proxy.call("look").await.0, 200);
+        assert_eq!(fixture.proxy.call("look").await.0, 200);
     }
-    assert_eq!(*s.script.left.borrow(), attempts);
+    assert_eq!(*fixture.script.left.borrow(), attempts);
 }
 
 /// Backends learn from the close of its connection that an attempt is given up, and stop its work.
 #[tokio::test]
-async fn a_client_that_leaves_takes_its_attempt_along() {
+async fn client_disconnect_cancels_its_attempt() {
     for may_duplicate in [false, true] {
-        let s = fixture(with_cap("mayDuplicate", may_duplicate.into())).await;
-        s.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
-        let mut client = s.proxy.client().await;
+        let fixture = start_fixture(with_cap("mayDuplicate", may_duplicate.into())).await;
+        fixture.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
+        let mut client = fixture.proxy.client().await;
         let call = tokio::spawn(async move { client.call("look").await });
-        s.script.wait_for_requests(1).await;
+        fixture.script.wait_for_requests(1).await;
         call.abort();
-        given_up_soon(&s, 1).await;
+        assert_cancelled_soon(&fixture, 1).await;
     }
 }
 
 /// Settings under which a request past the limit is soon refused.
-fn with_short_hold() -> serde_json::Value {
-    let mut s = settings();
-    for class in s["classes"].as_array_mut().expect("a list") {
+fn with_short_queue_wait() -> serde_json::Value {
+    let mut settings = settings();
+    for class in settings["classes"].as_array_mut().expect("a list") {
         class["aim"] = 4000.0.into();
     }
-    s
+    settings
 }
 
 /// Calls that their backends hold, as many as the limit takes: the first past it is refused. With what releases
 /// each; the last is for the refused one's, which the next call gets.
-async fn fill(s: &Fixture, limit: &str) -> (Vec<TcpStream>, Vec<Arc<Notify>>) {
-    let (mut clients, mut releases, mut refusal) = (Vec::new(), Vec::new(), Vec::new());
-    while refusal.is_empty() {
+async fn fill_concurrency_limit(
+    fixture: &Fixture,
+    deadline_header: &str,
+) -> (Vec<TcpStream>, Vec<Arc<Notify>>) {
+    let (mut clients, mut releases, mut rejection) = (Vec::new(), Vec::new(), Vec::new());
+    while rejection.is_empty() {
         let release = Arc::new(Notify::new());
-        s.script.give([BackendBehavior::Hold(release.clone())]);
+        fixture.script.give([BackendBehavior::Hold(release.clone())]);
         releases.push(release);
-        let mut client = TcpStream::connect(s.proxy.addr).await.expect("it listens");
-        let call = raw_request("GET /look", &clients.len().to_string(), limit);
+        let mut client = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
+        let call = raw_request("GET /look", &clients.len().to_string(), deadline_header);
         client.write_all(call.as_bytes()).await.expect("open");
         tokio::select! {
-            () = s.script.wait_for_requests(clients.len() + 1) => clients.push(client),
-            read = client.read_buf(&mut refusal) => assert_ne!(read.expect("open"), 0),
+            () = fixture.script.wait_for_requests(clients.len() + 1) => clients.push(client),
+            read = client.read_buf(&mut rejection) => assert_ne!(read.expect("open"), 0),
         }
     }
-    assert!(refusal.starts_with(b"HTTP/1.1 503"), "{}", String::from_utf8_lossy(&refusal));
+    assert!(rejection.starts_with(b"HTTP/1.1 503"), "{}", String::from_utf8_lossy(&rejection));
     (clients, releases)
 }
 
 /// Once its connection is closed the proxy knows that a client left.
-async fn leave(mut client: TcpStream) {
+async fn disconnect(mut client: TcpStream) {
     client.shutdown().await.expect("open");
     in_time(client.read_to_end(&mut Vec::new())).await.expect("a close");
 }
 
-/// All that `fill` sent has ended at the backends, which release nothing by themselves, and its slots are free.
-async fn nothing_runs_on(s: &Fixture, calls: usize, releases: &[Arc<Notify>]) {
-    // The last release is for the call that `fill` had refused: the next one gets it.
+/// All that `fill_concurrency_limit` sent has ended at the backends, which release nothing by themselves, and its slots are free.
+async fn assert_all_cancelled(fixture: &Fixture, calls: usize, releases: &[Arc<Notify>]) {
+    // The last release is for the call that `fill_concurrency_limit` had refused: the next one gets it.
     releases.last().expect("one a call").notify_one();
-    given_up_soon(s, calls).await;
+    assert_cancelled_soon(fixture, calls).await;
 }
 
 #[tokio::test]
-async fn what_clients_abandoned_runs_on_nowhere() {
-    let s = fixture(with_short_hold()).await;
-    let (clients, releases) = fill(&s, "Req-Deadline-Ms: 60000").await;
+async fn requests_of_disconnected_clients_are_cancelled() {
+    let fixture = start_fixture(with_short_queue_wait()).await;
+    let (clients, releases) = fill_concurrency_limit(&fixture, "Req-Deadline-Ms: 60000").await;
     let calls = clients.len();
     for client in clients {
-        leave(client).await;
+        disconnect(client).await;
     }
-    nothing_runs_on(&s, calls, &releases).await;
+    assert_all_cancelled(&fixture, calls, &releases).await;
 }
 
 #[tokio::test]
-async fn what_timed_out_runs_on_nowhere() {
-    let s = fixture(with_short_hold()).await;
-    let (clients, releases) = fill(&s, "Req-Deadline-Ms: 1500").await;
+async fn timed_out_requests_are_cancelled() {
+    let fixture = start_fixture(with_short_queue_wait()).await;
+    let (clients, releases) = fill_concurrency_limit(&fixture, "Req-Deadline-Ms: 1500").await;
     let calls = clients.len();
     for mut client in clients {
         // What is safe is refused when its time is up: to ask again is harmless.
@@ -321,108 +325,108 @@
         assert_ne!(in_time(client.read_buf(&mut answer)).await.expect("open"), 0);
         assert!(answer.starts_with(b"HTTP/1.1 503"), "{}", String::from_utf8_lossy(&answer));
     }
-    nothing_runs_on(&s, calls, &releases).await;
+    assert_all_cancelled(&fixture, calls, &releases).await;
 }
 
-/// A tenant may have two requests in its share; `fill` has one beyond that refused. When the client of one of the two
+/// A tenant may have two requests in its share; `fill_concurrency_limit` has one beyond that refused. When the client of one of the two
 /// leaves, the next is inside the share and goes through past the limit.
 #[tokio::test]
-async fn a_client_that_leaves_gives_its_share_back() {
-    let mut small = with_short_hold();
-    small["tenants"][0]["quotaPerS"] = 0.001.into();
-    let s = fixture(small).await;
-    let (mut clients, releases) = fill(&s, "Req-Deadline-Ms: 60000").await;
-    leave(clients.remove(0)).await;
+async fn client_disconnect_frees_its_quota_share() {
+    let mut limited_quota = with_short_queue_wait();
+    limited_quota["tenants"][0]["quotaPerS"] = 0.001.into();
+    let fixture = start_fixture(limited_quota).await;
+    let (mut clients, releases) = fill_concurrency_limit(&fixture, "Req-Deadline-Ms: 60000").await;
+    disconnect(clients.remove(0)).await;
     releases.last().expect("one a call").notify_one();
-    assert_eq!(s.proxy.call("look").await.0, 200);
+    assert_eq!(fixture.proxy.call("look").await.0, 200);
 }
 
 #[tokio::test]
-async fn a_request_is_failed_before_its_client_gives_up_and_its_connection_is_closed() {
-    let s = fixture(settings()).await;
-    s.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
+async fn request_fails_before_its_deadline_and_is_cancelled() {
+    let fixture = start_fixture(settings()).await;
+    fixture.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
     let call = request("once").body(Full::default()).expect("well formed");
     let (mut parts, body) = call.into_parts();
     parts.headers.insert("req-deadline-ms", "700".parse().expect("a value"));
     let start = Instant::now();
-    let (status, _) = s.proxy.client().await.send(hyper::Request::from_parts(parts, body)).await;
+    let (status, _) = fixture.proxy.client().await.send(hyper::Request::from_parts(parts, body)).await;
     assert!((500..600).contains(&status) && status != 503, "{status} promises nothing");
     assert!(start.elapsed() >= Duration::from_millis(500), "it was given the time that it had");
     // Nobody waits for the answer any more: the backend is told by the close.
-    given_up_soon(&s, 1).await;
+    assert_cancelled_soon(&fixture, 1).await;
 }
 
 #[tokio::test]
-async fn at_a_planned_stop_all_that_was_admitted_is_answered() {
-    let mut s = fixture(settings()).await;
+async fn graceful_shutdown_answers_all_admitted_requests() {
+    let mut fixture = start_fixture(settings()).await;
     let release = Arc::new(Notify::new());
-    s.script.give([BackendBehavior::Hold(release.clone())]);
-    let (mut busy, mut idle) = (s.proxy.client().await, s.proxy.client().await);
+    fixture.script.give([BackendBehavior::Hold(release.clone())]);
+    let (mut busy, mut idle) = (fixture.proxy.client().await, fixture.proxy.client().await);
     let held = tokio::spawn(async move { busy.call("once").await });
-    s.script.wait_for_requests(1).await;
-    s.proxy.terminate().await;
+    fixture.script.wait_for_requests(1).await;
+    fixture.proxy.terminate().await;
     assert_eq!(idle.call("look").await.0, 200, "connections at rest go on being used");
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(s.proxy.call("look").await.0, 200, "new ones are taken for a while");
+    assert_eq!(fixture.proxy.call("look").await.0, 200, "new ones are taken for a while");
     in_time(async {
-        while idle.0.ready().await.is_ok() && TcpStream::connect(s.proxy.addr).await.is_ok() {}
+        while idle.0.ready().await.is_ok() && TcpStream::connect(fixture.proxy.addr).await.is_ok() {}
     })
     .await;
     release.notify_one();
     assert_eq!(held.await.expect("no panic").0, 200);
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(fixture.proxy.ended().await.code(), Some(0));
 }
 
 /// Others may be down too: clients keep the connections that they have while a request can still be in time.
 #[tokio::test]
-async fn at_a_planned_stop_open_connections_outlast_the_listener() {
-    let mut brisk = settings();
-    for class in brisk["classes"].as_array_mut().expect("a list") {
+async fn open_connections_outlast_the_listener_on_shutdown() {
+    let mut settings = settings();
+    for class in settings["classes"].as_array_mut().expect("a list") {
         class["aim"] = 500.0.into();
     }
-    let mut s = fixture(brisk).await;
-    let mut idle = s.proxy.client().await;
+    let mut fixture = start_fixture(settings).await;
+    let mut idle = fixture.proxy.client().await;
     assert_eq!(idle.call("look").await.0, 200);
-    s.proxy.terminate().await;
-    in_time(async { while TcpStream::connect(s.proxy.addr).await.is_ok() {} }).await;
+    fixture.proxy.terminate().await;
+    in_time(async { while TcpStream::connect(fixture.proxy.addr).await.is_ok() {} }).await;
     assert_eq!(idle.call("look").await.0, 200);
     drop(idle);
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(fixture.proxy.ended().await.code(), Some(0));
 }
 
 #[tokio::test]
-async fn a_planned_stop_does_not_wait_for_an_unresponsive_backend() {
-    let mut s = fixture(settings()).await;
-    s.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
-    let mut client = s.proxy.client().await;
+async fn graceful_shutdown_does_not_wait_for_a_silent_backend() {
+    let mut fixture = start_fixture(settings()).await;
+    fixture.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
+    let mut client = fixture.proxy.client().await;
     let held = tokio::spawn(async move { client.call("once").await });
-    s.script.wait_for_requests(1).await;
-    s.proxy.terminate().await;
+    fixture.script.wait_for_requests(1).await;
+    fixture.proxy.terminate().await;
     let (status, _) = held.await.expect("no panic");
     assert_eq!(status, 504, "it may have run");
-    assert_eq!(s.proxy.ended().await.code(), Some(0));
+    assert_eq!(fixture.proxy.ended().await.code(), Some(0));
 }
 
 #[tokio::test]
-async fn a_new_configuration_moves_the_proxy_to_another_discovery() {
-    let mut s = fixture(settings()).await;
+async fn reload_switches_to_another_discovery_address() {
+    let mut fixture = start_fixture(settings()).await;
     // The other discovery's version is lower than the one held: carried across, it would wait for ever.
-    s.discovery.publish(vec![s.a.line("SERVING")]).await;
-    let other = Discovery::start(vec![s.b.line("SERVING")]).await;
-    s.proxy.reload("{", "configuration rejected").await;
-    assert_eq!(s.proxy.call("look").await, (200, "a".into()));
-    s.proxy.reload(&other.config(settings()).to_string(), "configuration applied").await;
+    fixture.discovery.publish(vec![fixture.a.line("SERVING")]).await;
+    let other = Discovery::start(vec![fixture.b.line("SERVING")]).await;
+    fixture.proxy.reload("{", "configuration rejected").await;
+    assert_eq!(fixture.proxy.call("look").await, (200, "a".into()));
+    fixture.proxy.reload(&other.config(settings()).to_string(), "configuration applied").await;
     other.wait_until_applied().await;
-    in_time(s.discovery.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
+    in_time(fixture.discovery.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
     for _ in 0..20 {
-        assert_eq!(s.proxy.call("look").await, (200, "b".into()));
+        assert_eq!(fixture.proxy.call("look").await, (200, "b".into()));
     }
-    other.publish(vec![s.a.line("SERVING")]).await;
-    assert_eq!(s.proxy.call("look").await, (200, "a".into()));
+    other.publish(vec![fixture.a.line("SERVING")]).await;
+    assert_eq!(fixture.proxy.call("look").await, (200, "a".into()));
 }
 
 #[tokio::test]
-async fn running_out_of_descriptors_ends_nothing() {
+async fn proxy_survives_running_out_of_descriptors() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.line("SERVING")]).await;
@@ -441,7 +445,7 @@
 }
 
 #[tokio::test]
-async fn clients_at_rest_do_not_keep_others_out() {
+async fn idle_clients_do_not_block_new_ones() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.line("SERVING")]).await;
@@ -450,29 +454,29 @@
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     // Some have made a call and rest, some have never said a word; there is room for 40 at the most.
-    let (mut rest, mut mute) = (Vec::new(), Vec::new());
+    let (mut idle, mut silent) = (Vec::new(), Vec::new());
     for _ in 0..30 {
         let mut client = proxy.client().await;
         assert_eq!(client.call("look").await.0, 200);
-        rest.push(client);
-        mute.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
-        mute.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
+        idle.push(client);
+        silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
+        silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
     }
     // Hundreds more that say nothing cost those who are served neither their places nor time.
-    let mut usual = proxy.client().await;
-    assert_eq!(usual.call("look").await.0, 200);
-    let start = Instant::now();
+    let mut active = proxy.client().await;
+    assert_eq!(active.call("look").await.0, 200);
+    let started_at = Instant::now();
     for _ in 0..200 {
-        mute.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
+        silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
     }
-    assert_eq!(usual.call("look").await.0, 200, "it was served before and keeps its place");
+    assert_eq!(active.call("look").await.0, 200, "it was served before and keeps its place");
     assert_eq!(proxy.call("look").await.0, 200);
-    assert!(start.elapsed() < Duration::from_secs(2), "nobody waited for a time limit");
+    assert!(started_at.elapsed() < Duration::from_secs(2), "nobody waited for a time limit");
 }
 
 #[tokio::test]
-async fn malformed_requests_are_turned_down_and_reach_no_backend() {
-    let s = fixture(settings()).await;
+async fn malformed_requests_are_rejected_and_not_forwarded() {
+    let fixture = start_fixture(settings()).await;
     let without = |class: &str, name: &str| {
         let mut call = request(class).body(Full::<bytes::Bytes>::default()).expect("well formed");
         call.headers_mut().remove(name).expect("it was there");
@@ -482,7 +486,7 @@
         [("look", "req-id"), ("look", "req-owner"), ("look", "req-deadline-ms"), ("keep", "idempotency-key")]
     {
         assert_eq!(
-            s.proxy.client().await.send(without(class, header)).await.0,
+            fixture.proxy.client().await.send(without(class, header)).await.0,
             400,
             "{class} without {header}"
         );
@@ -498,13 +502,13 @@
     ];
     for (call, status) in odd {
         let call = call.body(Full::default()).expect("well formed");
-        assert_eq!(s.proxy.client().await.send(call).await.0, status);
+        assert_eq!(fixture.proxy.client().await.send(call).await.0, status);
     }
-    assert_eq!(s.script.seen.borrow().len(), 0);
+    assert_eq!(fixture.script.seen.borrow().len(), 0);
 }
 
 /// Sends bytes as they are, and reads what comes until the proxy closes the connection.
-async fn raw(addr: std::net::SocketAddr, bytes: &[u8]) -> String {
+async fn send_raw(addr: std::net::SocketAddr, bytes: &[u8]) -> String {
     let mut stream = in_time(TcpStream::connect(addr)).await.expect("it listens");
     stream.write_all(bytes).await.expect("taken");
     let mut answer = Vec::new();
@@ -512,120 +516,120 @@
     String::from_utf8(answer).expect("text")
 }
 
-fn raw_request(line: &str, id: &str, more: &str) -> String {
-    let mut text = format!("{line} HTTP/1.1\r\nHost: o\r\nReq-Id: {id}\r\nReq-Owner: acme\r\n");
-    for header in more.split('|') {
+fn raw_request(method_and_path: &str, id: &str, headers: &str) -> String {
+    let mut text = format!("{method_and_path} HTTP/1.1\r\nHost: o\r\nReq-Id: {id}\r\nReq-Owner: acme\r\n");
+    for header in headers.split('|') {
         text += &format!("{header}\r\n");
     }
     text + "\r\n"
 }
 
 #[tokio::test]
-async fn what_hides_behind_a_second_length_does_not_go_on() {
-    let s = fixture(settings()).await;
-    let hidden = raw_request("GET /look", "b", "Req-Deadline-Ms: 60000");
-    let length = format!("Content-Length: {}", hidden.len() + 5);
-    let (te, limit) = ("Transfer-Encoding: chunked", "Req-Deadline-Ms: 60000");
-    for (more, status) in [
-        (format!("{limit}|{length}|{te}"), "400"),
-        (format!("{limit}|{te}|{length}"), "400"),
-        (format!("{limit}|{te}|{te}"), "400"),
-        (format!("{limit}|Transfer-Encoding: gzip, chunked"), "400"),
-        (format!("{limit}|Transfer-Encoding: gzip"), "400"),
-        (format!("{limit}|Content-Length: 33554433"), "413"),
-        (format!("{limit}|Content-Length: 4|Content-Length: 9"), "400"),
-        (format!("{limit}|Content-Length: -4"), "400"),
-        (format!("{limit}|Content-Length: 99999999999999999999"), "400"),
-        (format!("{limit}|Content-Length: 3000000000"), "413"),
+async fn request_with_invalid_framing_is_not_forwarded() {
+    let fixture = start_fixture(settings()).await;
+    let smuggled = raw_request("GET /look", "b", "Req-Deadline-Ms: 60000");
+    let length = format!("Content-Length: {}", smuggled.len() + 5);
+    let (chunked, deadline) = ("Transfer-Encoding: chunked", "Req-Deadline-Ms: 60000");
+    for (headers, status) in [
+        (format!("{deadline}|{length}|{chunked}"), "400"),
+        (format!("{deadline}|{chunked}|{length}"), "400"),
+        (format!("{deadline}|{chunked}|{chunked}"), "400"),
+        (format!("{deadline}|Transfer-Encoding: gzip, chunked"), "400"),
+        (format!("{deadline}|Transfer-Encoding: gzip"), "400"),
+        (format!("{deadline}|Content-Length: 33554433"), "413"),
+        (format!("{deadline}|Content-Length: 4|Content-Length: 9"), "400"),
+        (format!("{deadline}|Content-Length: -4"), "400"),
+        (format!("{deadline}|Content-Length: 99999999999999999999"), "400"),
+        (format!("{deadline}|Content-Length: 3000000000"), "413"),
         ("Req-Deadline-Ms: +60000|Content-Length: 0".to_string(), "400"),
     ] {
-        let text = raw_request("POST /once", "a", &more) + "0\r\n\r\n" + &hidden;
-        let answer = raw(s.proxy.addr, text.as_bytes()).await;
+        let text = raw_request("POST /once", "a", &headers) + "0\r\n\r\n" + &smuggled;
+        let answer = send_raw(fixture.proxy.addr, text.as_bytes()).await;
         let statuses: Vec<_> = answer.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
-        assert_eq!(statuses, [status], "{more}");
+        assert_eq!(statuses, [status], "{headers}");
     }
-    assert_eq!(s.script.seen.borrow().len(), 0, "nothing went on");
+    assert_eq!(fixture.script.seen.borrow().len(), 0, "nothing went on");
 }
 
 #[tokio::test]
-async fn clients_that_send_nothing_or_no_end_are_not_waited_for() {
-    let s = fixture(settings()).await;
+async fn incomplete_requests_time_out() {
+    let fixture = start_fixture(settings()).await;
     let body = raw_request("POST /once", "a", "Req-Deadline-Ms: 60000|Content-Length: 300") + "half";
     let head = "GET /look HTTP/1.1\r\nHost:";
     let start = Instant::now();
-    let (mute, head, body) = tokio::join!(
-        raw(s.proxy.addr, b""),
-        raw(s.proxy.addr, head.as_bytes()),
-        raw(s.proxy.addr, body.as_bytes())
+    let (silent, head, body) = tokio::join!(
+        send_raw(fixture.proxy.addr, b""),
+        send_raw(fixture.proxy.addr, head.as_bytes()),
+        send_raw(fixture.proxy.addr, body.as_bytes())
     );
     assert!(start.elapsed() < Duration::from_secs(20), "well before any other limit");
     // What may still come of a request has its answer.
-    assert_eq!((mute.as_str(), head.as_str()), (REJECTED_FIRST_REQUEST, REJECTED_FIRST_REQUEST));
+    assert_eq!((silent.as_str(), head.as_str()), (REJECTED_FIRST_REQUEST, REJECTED_FIRST_REQUEST));
     assert!(body.starts_with("HTTP/1.1 408 "), "{body}");
     let endless = format!("GET /look HTTP/1.1\r\nX-Pad: {}", "p".repeat(200_000));
-    let mut stream = in_time(TcpStream::connect(s.proxy.addr)).await.expect("it listens");
+    let mut stream = in_time(TcpStream::connect(fixture.proxy.addr)).await.expect("it listens");
     // It is closed while this is written.
     let _ = stream.write_all(endless.as_bytes()).await;
     let _ = in_time(stream.read_to_end(&mut Vec::new())).await;
-    assert_eq!(s.script.seen.borrow().len(), 0);
+    assert_eq!(fixture.script.seen.borrow().len(), 0);
 }
 
 #[tokio::test]
-async fn the_id_of_an_open_request_is_not_accepted_twice() {
-    let s = fixture(settings()).await;
+async fn duplicate_id_of_an_open_request_is_rejected() {
+    let fixture = start_fixture(settings()).await;
     let release = Arc::new(Notify::new());
-    s.script.give([BackendBehavior::Hold(release.clone())]);
+    fixture.script.give([BackendBehavior::Hold(release.clone())]);
     let call = || {
         let call = request("look").header("x-try", "1").body(Full::default()).expect("well formed");
         let (mut parts, body) = call.into_parts();
         parts.headers.insert("req-id", "5d468814b7549764".parse().expect("a value"));
         hyper::Request::from_parts(parts, body)
     };
-    let (mut one, mut two) = (s.proxy.client().await, s.proxy.client().await);
-    let first = tokio::spawn(async move { one.send(call()).await });
-    s.script.wait_for_requests(1).await;
-    assert_eq!(two.send(call()).await.0, 409);
+    let (mut first_client, mut second_client) = (fixture.proxy.client().await, fixture.proxy.client().await);
+    let first = tokio::spawn(async move { first_client.send(call()).await });
+    fixture.script.wait_for_requests(1).await;
+    assert_eq!(second_client.send(call()).await.0, 409);
     release.notify_one();
     assert_eq!(first.await.expect("no panic").0, 200);
-    assert_eq!(s.script.seen.borrow().len(), 1, "the second touched nothing");
-    assert_eq!(two.send(call()).await.0, 200, "once it is closed the id is free");
+    assert_eq!(fixture.script.seen.borrow().len(), 1, "the second touched nothing");
+    assert_eq!(second_client.send(call()).await.0, 200, "once it is closed the id is free");
 }
 
 /// Another backend would turn it down as well, and it is not this one's fault.
 #[tokio::test]
-async fn what_a_backend_calls_malformed_is_not_sent_again() {
-    let s = fixture(settings()).await;
+async fn request_a_backend_calls_malformed_is_not_retried() {
+    let fixture = start_fixture(settings()).await;
     for status in [400, 404, 413] {
-        let before = s.script.seen.borrow().len();
-        s.script.give([BackendBehavior::Answer(status)]);
-        assert_eq!(s.proxy.call("look").await.0, 502);
-        assert_eq!(s.script.seen.borrow().len(), before + 1);
+        let before = fixture.script.seen.borrow().len();
+        fixture.script.give([BackendBehavior::Answer(status)]);
+        assert_eq!(fixture.proxy.call("look").await.0, 502);
+        assert_eq!(fixture.script.seen.borrow().len(), before + 1);
     }
 }
 
 /// A request that waits behind another on its connection has its time from when it came.
 #[tokio::test]
-async fn the_time_of_a_request_counts_from_its_coming() {
-    let s = fixture(settings()).await;
+async fn deadline_of_a_pipelined_request_counts_from_arrival() {
+    let fixture = start_fixture(settings()).await;
     let release = Arc::new(Notify::new());
-    s.script.give([BackendBehavior::Hold(release.clone())]);
+    fixture.script.give([BackendBehavior::Hold(release.clone())]);
     let first = raw_request("GET /look", "a", "Req-Deadline-Ms: 60000");
     let second = raw_request("GET /look", "b", "Req-Deadline-Ms: 300|Connection: close");
-    let addr = s.proxy.addr;
+    let addr = fixture.proxy.addr;
     let text = first + &second;
-    let answers = tokio::spawn(async move { raw(addr, text.as_bytes()).await });
-    s.script.wait_for_requests(1).await;
+    let answers = tokio::spawn(async move { send_raw(addr, text.as_bytes()).await });
+    fixture.script.wait_for_requests(1).await;
     tokio::time::sleep(Duration::from_millis(400)).await;
     release.notify_one();
     let answers = answers.await.expect("no panic");
     let statuses: Vec<_> = answers.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
     assert_eq!(statuses, ["200", "503"]);
-    assert_eq!(s.script.seen.borrow().len(), 1, "its time was up before its turn");
+    assert_eq!(fixture.script.seen.borrow().len(), 1, "its time was up before its turn");
 }
 
 /// Bodies held in all are bounded by the memory that the configuration tells; what is past that is refused.
 #[tokio::test]
-async fn bodies_do_not_outgrow_the_memory() {
+async fn buffered_bodies_stay_within_the_memory_limit() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.line("SERVING")]).await;
@@ -634,26 +638,27 @@
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     // A quarter of it holds 32 such bodies. None of these ends; the first to pass the limit is told at once.
-    let mut parts = Vec::new();
-    for n in 0..40 {
-        let text = raw_request("POST /once", &n.to_string(), "Req-Deadline-Ms: 60000|Content-Length: 65536");
+    let mut clients = Vec::new();
+    for number in 0..40 {
+        let text =
+            raw_request("POST /once", &number.to_string(), "Req-Deadline-Ms: 60000|Content-Length: 65536");
         let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("it listens");
         stream.write_all(text.as_bytes()).await.expect("taken");
         stream.write_all(&vec![b'x'; 65_535]).await.expect("taken");
-        parts.push(stream);
+        clients.push(stream);
     }
-    let mut refused = 0;
-    for mut stream in parts {
+    let mut rejected = 0;
+    for mut stream in clients {
         let mut answer = [0; 12];
         in_time(stream.read_exact(&mut answer)).await.expect("an answer");
-        refused += usize::from(&answer == b"HTTP/1.1 503");
+        rejected += usize::from(&answer == b"HTTP/1.1 503");
     }
-    assert!((1..=8).contains(&refused), "{refused} were refused");
+    assert!((1..=8).contains(&rejected), "{rejected} were refused");
     assert_eq!(proxy.call("look").await.0, 200);
 }
 
 /// One scripted backend, and a proxy that knows no other.
-async fn scripted_scene(
+async fn start_scripted(
     bytes: impl Fn(usize) -> Option<[Vec<u8>; 2]> + Send + Sync + 'static,
 ) -> (Scripted, Proxy, Discovery) {
     let backend = scripted(bytes).await;
@@ -663,9 +668,9 @@
 }
 
 #[tokio::test]
-async fn a_spoilt_answer_is_given_up_at_once_and_may_have_run() {
+async fn malformed_response_fails_at_once_and_is_not_retried() {
     let head = |headers: &str, body: &str| format!("HTTP/1.1 200 OK\r\n{headers}\r\n{body}");
-    let spoilt = [
+    let malformed = [
         head("", "goes on to the end"),
         head("Content-Length: 4\r\nContent-Length: 4\r\n", "good"),
         head("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "4\r\ngood\r\n0\r\n\r\n"),
@@ -678,10 +683,10 @@
         "HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\ngood".to_string(),
         "noise".to_string() + "\r\n\r\n",
     ];
-    let count = spoilt.len();
-    let answers = spoilt.map(String::into_bytes);
+    let count = malformed.len();
+    let answers = malformed.map(String::into_bytes);
     let (backend, proxy, _discovery) =
-        scripted_scene(move |n| Some([answers.get(n)?.clone(), Vec::new()])).await;
+        start_scripted(move |n| Some([answers.get(n)?.clone(), Vec::new()])).await;
     for n in 0..count {
         let start = Instant::now();
         assert_eq!(proxy.call("once").await.0, 502, "spoilt answer {n} is neither served nor refused");
@@ -694,20 +699,20 @@
 
 /// What comes behind a good answer is not the next request's, be it there already or late.
 #[tokio::test]
-async fn what_comes_behind_an_answer_never_answers_the_next_request() {
+async fn bytes_after_a_response_never_answer_the_next_request() {
     let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let hints = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
     let bytes = move |n: usize| {
-        let one = answer(&format!("answer {n}"));
-        let (one, two) = match n % 4 {
-            0 => (one.clone() + &one, String::new()),
-            1 => (one.clone(), one),
-            2 => (one, "noise\r\n\r\n".to_string()),
-            _ => (hints.to_string() + &one, String::new()),
+        let first = answer(&format!("answer {n}"));
+        let (first, second) = match n % 4 {
+            0 => (first.clone() + &first, String::new()),
+            1 => (first.clone(), first),
+            2 => (first, "noise\r\n\r\n".to_string()),
+            _ => (hints.to_string() + &first, String::new()),
         };
-        Some([one.into_bytes(), two.into_bytes()])
+        Some([first.into_bytes(), second.into_bytes()])
     };
-    let (backend, proxy, _discovery) = scripted_scene(bytes).await;
+    let (backend, proxy, _discovery) = start_scripted(bytes).await;
     let mut client = proxy.client().await;
     for n in 0..24 {
         assert_eq!(client.call("once").await, (200, format!("answer {n}")));
@@ -720,9 +725,9 @@
 }
 
 #[tokio::test]
-async fn connections_belong_to_the_process_and_not_to_its_address() {
+async fn connections_belong_to_a_backend_not_its_address() {
     let script = Arc::new(BackendScript::default());
-    let (a, other) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
+    let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
     let discovery = Discovery::start(vec![line("old", a.addr, "SERVING")]).await;
     let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
     assert_eq!(proxy.call("once").await.0, 200);
@@ -732,40 +737,40 @@
     assert_eq!(proxy.call("once").await.0, 200);
     assert_eq!((a.total(), *a.open.borrow()), (2, 1));
     // And the old one's going takes nothing from it.
-    discovery.publish(vec![line("new", a.addr, "SERVING"), other.line("DRAINING")]).await;
+    discovery.publish(vec![line("new", a.addr, "SERVING"), b.line("DRAINING")]).await;
     assert_eq!(proxy.call("once").await.0, 200);
     assert_eq!((a.total(), *a.open.borrow()), (2, 1));
 }
 
 #[tokio::test]
-async fn it_is_ready_once_there_is_a_backend_and_odd_entries_are_passed_over() {
+async fn ready_with_one_backend_despite_malformed_entries() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
-    let odd = serde_json::json!({"host": 5});
-    let discovery = Discovery::start(vec![odd.clone()]).await;
+    let malformed = serde_json::json!({"host": 5});
+    let discovery = Discovery::start(vec![malformed.clone()]).await;
     let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
-    let ready =
+    let ready_request =
         || hyper::Request::get("/health/ready").header("host", "p").body(Full::default()).expect("good");
-    assert_eq!(proxy.client().await.send(ready()).await.0, 503);
-    discovery.publish(vec![odd, a.line("SERVING"), serde_json::json!("?")]).await;
-    assert_eq!(proxy.client().await.send(ready()).await.0, 200);
+    assert_eq!(proxy.client().await.send(ready_request()).await.0, 503);
+    discovery.publish(vec![malformed, a.line("SERVING"), serde_json::json!("?")]).await;
+    assert_eq!(proxy.client().await.send(ready_request()).await.0, 200);
     assert_eq!(proxy.call("look").await, (200, "a".into()));
 }
 
 #[tokio::test]
-async fn bad_input_ends_it_with_one_line() {
+async fn invalid_configuration_ends_the_start_with_one_line() {
     let discovery = Discovery::start(Vec::new()).await;
-    let good = discovery.config(settings());
-    let mut no_class = good.clone();
+    let valid = discovery.config(settings());
+    let mut no_class = valid.clone();
     no_class["settings"]["classes"] = serde_json::json!([]);
-    let mut bad_seed = good.clone();
+    let mut bad_seed = valid.clone();
     bad_seed["seed"] = "xyz".into();
-    for (text, says) in [
+    for (text, expected) in [
         ("{".to_string(), "config: "),
         (no_class.to_string(), "classes"),
         (bad_seed.to_string(), "seed"),
-        (good.to_string().replace("127.0.0.1:0", "nowhere"), "listen"),
-        (good.to_string().replace("openCap", "other"), "openCap"),
+        (valid.to_string().replace("127.0.0.1:0", "nowhere"), "listen"),
+        (valid.to_string().replace("openCap", "other"), "openCap"),
     ] {
         let program = std::process::Command::new(env!("CARGO_BIN_EXE_foldhitch-proxy"))
             .env_remove("RELAY_LISTEN")
@@ -775,13 +780,13 @@
             .expect("it starts");
         let log = String::from_utf8(program.stderr).expect("text");
         assert!(!program.status.success() && log.lines().count() == 1, "{log}");
-        assert!(log.contains(says), "{log}");
+        assert!(log.contains(expected), "{log}");
     }
 }
 
 /// Who is in the middle of a head has time for it, however many ask once and stay meanwhile.
 #[tokio::test]
-async fn clients_that_rest_give_way_before_those_that_write() {
+async fn idle_clients_are_evicted_before_sending_ones() {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.line("SERVING")]).await;
@@ -789,20 +794,21 @@
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
-    let (mut writing, mut rest) = (Vec::new(), Vec::new());
-    for n in 0..4 {
+    let (mut sending, mut idle) = (Vec::new(), Vec::new());
+    for number in 0..4 {
         let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("it listens");
-        let head = raw_request("GET /look", &format!("slow-{n}"), "Req-Deadline-Ms: 60000|Connection: close");
+        let head =
+            raw_request("GET /look", &format!("slow-{number}"), "Req-Deadline-Ms: 60000|Connection: close");
         let (first, last) = head.split_at(20);
         stream.write_all(first.as_bytes()).await.expect("open");
-        writing.push((stream, last.to_string()));
+        sending.push((stream, last.to_string()));
     }
     for _ in 0..60 {
         let mut client = proxy.client().await;
         assert_eq!(client.call("look").await.0, 200);
-        rest.push(client);
+        idle.push(client);
     }
-    for (stream, last) in &mut writing {
+    for (stream, last) in &mut sending {
         stream.write_all(last.as_bytes()).await.expect("open");
         let mut answer = String::new();
         in_time(stream.read_to_string(&mut answer)).await.expect("it was not cut off");
