--- a/crates/proxy/tests/accept_queue_delay.rs
+++ b/crates/proxy/tests/accept_queue_delay.rs
@@ -13,11 +13,11 @@
 /// How long a client waits for its answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 /// So long the connections wait.
-const QUEUE_TIME: Duration = Duration::from_millis(500);
+const ACCEPT_QUEUE_TIME: Duration = Duration::from_millis(500);
 /// A backend may be told so much more than is left to the client.
-const TOLD_SLACK: Duration = Duration::from_millis(150);
+const FORWARDED_DEADLINE_SLACK: Duration = Duration::from_millis(150);
 /// So many requests at once are surely let through by a limit that has learned nothing yet.
-const AT_ONCE: usize = 7;
+const CONCURRENT_CLIENTS: usize = 7;
 /// More than is read at once, and less than is streamed.
 const LONG_BODY_BYTES: usize = 40_000;
 
@@ -38,12 +38,12 @@
     }
 
     /// What the backend was told of the times that are left.
-    fn told(&self) -> Vec<Duration> {
-        let told = |head: &hyper::http::request::Parts| {
+    fn forwarded_deadlines(&self) -> Vec<Duration> {
+        let parse_deadline = |head: &hyper::http::request::Parts| {
             let text = head.headers["req-deadline-ms"].to_str().expect("text");
             Duration::from_millis(text.parse().expect("a number"))
         };
-        self.script.seen.borrow().iter().map(|(_, head, _)| told(head)).collect()
+        self.script.seen.borrow().iter().map(|(_, head, _)| parse_deadline(head)).collect()
     }
 }
 
@@ -64,7 +64,7 @@
 /// Clients that connect and send at once while nobody accepts.
 async fn queued_clients(proxy: &Proxy, client_timeout: Duration, body_bytes: usize) -> Vec<WaitingClient> {
     let mut clients = Vec::new();
-    for number in 0..AT_ONCE {
+    for number in 0..CONCURRENT_CLIENTS {
         let mut stream = connected(proxy.addr).await;
         let text = request_text(client_timeout, number, body_bytes);
         in_time(stream.write_all(text.as_bytes())).await.expect("the system takes it");
@@ -74,40 +74,43 @@
 }
 
 /// Guards against backends that are told of time that has passed while the connection waited.
-async fn backends_are_told_what_is_left(body_bytes: usize) {
+async fn assert_forwarded_deadline_excludes_queue_time(body_bytes: usize) {
     let fixture = Fixture::new().await;
     // Given: complete requests on connections that nobody accepts.
     fixture.proxy.pause().await;
     let mut clients = queued_clients(&fixture.proxy, CLIENT_TIMEOUT, body_bytes).await;
     let last_sent_at = clients.iter().map(|client| client.sent_at).max().expect("there are some");
-    sleep_until(last_sent_at + QUEUE_TIME).await;
+    sleep_until(last_sent_at + ACCEPT_QUEUE_TIME).await;
     // When: the program goes on.
     fixture.proxy.resume_process().await;
     // Then: each is served, and the backend was told of no more time than was left by then.
     for client in &mut clients {
         assert_eq!(status(&mut client.stream).await, Some(200));
     }
-    let told = fixture.told();
-    println!("{told:?}");
-    assert_eq!(told.len(), AT_ONCE);
-    for told in told {
-        assert!(told <= CLIENT_TIMEOUT - QUEUE_TIME + TOLD_SLACK, "told {told:?}");
+    let forwarded = fixture.forwarded_deadlines();
+    println!("{forwarded:?}");
+    assert_eq!(forwarded.len(), CONCURRENT_CLIENTS);
+    for forwarded in forwarded {
+        assert!(
+            forwarded <= CLIENT_TIMEOUT - ACCEPT_QUEUE_TIME + FORWARDED_DEADLINE_SLACK,
+            "told {forwarded:?}"
+        );
     }
 }
 
 #[tokio::test]
-async fn a_backend_is_told_what_is_left_after_the_wait_for_an_accept() {
-    backends_are_told_what_is_left(0).await;
+async fn forwarded_deadline_excludes_the_accept_queue_time() {
+    assert_forwarded_deadline_excludes_queue_time(0).await;
 }
 
 #[tokio::test]
-async fn a_backend_is_told_what_is_left_after_the_wait_of_a_long_request() {
-    backends_are_told_what_is_left(LONG_BODY_BYTES).await;
+async fn long_request_forwards_deadline_without_queue_time() {
+    assert_forwarded_deadline_excludes_queue_time(LONG_BODY_BYTES).await;
 }
 
 /// Guards against counting from the connect: a request's time begins with its last byte.
 #[tokio::test]
-async fn a_request_sent_at_the_end_of_its_connections_wait_keeps_its_time() {
+async fn deadline_counts_from_the_last_byte_not_the_connect() {
     let fixture = Fixture::new().await;
     // Given: a connection that nobody accepts, and half of a head on it.
     fixture.proxy.pause().await;
@@ -115,32 +118,35 @@
     let (first, rest) = text.split_at(text.len() / 2);
     let mut stream = connected(fixture.proxy.addr).await;
     stream.write_all(first.as_bytes()).await.expect("the system takes it");
-    sleep_until(Instant::now() + QUEUE_TIME).await;
+    sleep_until(Instant::now() + ACCEPT_QUEUE_TIME).await;
     // When: the rest comes right before the program goes on.
-    let rest_began_at = Instant::now();
+    let rest_sent_at = Instant::now();
     stream.write_all(rest.as_bytes()).await.expect("the system takes it");
     fixture.proxy.resume_process().await;
     // Then: only the time since then is taken from what the backend is told.
     assert_eq!(status(&mut stream).await, Some(200));
-    let passed = rest_began_at.elapsed();
-    let told = fixture.told();
-    println!("{told:?}, {passed:?} passed");
-    assert_eq!(told.len(), 1);
-    assert!(told[0] + passed + TOLD_SLACK >= CLIENT_TIMEOUT, "told {told:?}, {passed:?} passed");
+    let elapsed = rest_sent_at.elapsed();
+    let forwarded = fixture.forwarded_deadlines();
+    println!("{forwarded:?}, {elapsed:?} passed");
+    assert_eq!(forwarded.len(), 1);
+    assert!(
+        forwarded[0] + elapsed + FORWARDED_DEADLINE_SLACK >= CLIENT_TIMEOUT,
+        "told {forwarded:?}, {elapsed:?} passed"
+    );
 }
 
 /// Guards against work for a client that has given up, and against one that waits for ever.
 #[tokio::test]
-async fn a_request_whose_time_ends_before_the_accept_is_answered_and_not_sent() {
+async fn expired_request_in_the_accept_queue_is_not_forwarded() {
     let fixture = Fixture::new().await;
     fixture.proxy.pause().await;
-    let mut clients = queued_clients(&fixture.proxy, QUEUE_TIME / 2, 0).await;
+    let mut clients = queued_clients(&fixture.proxy, ACCEPT_QUEUE_TIME / 2, 0).await;
     let last_sent_at = clients.iter().map(|client| client.sent_at).max().expect("there are some");
-    sleep_until(last_sent_at + QUEUE_TIME).await;
+    sleep_until(last_sent_at + ACCEPT_QUEUE_TIME).await;
     fixture.proxy.resume_process().await;
     for client in &mut clients {
         let answer = status(&mut client.stream).await;
         assert!(matches!(answer, Some(429 | 502 | 503 | 504)), "{answer:?}");
     }
-    assert_eq!(fixture.told(), []);
+    assert_eq!(fixture.forwarded_deadlines(), []);
 }
--- a/crates/proxy/tests/new_clients_at_capacity.rs
+++ b/crates/proxy/tests/new_clients_at_capacity.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// Descriptors of the proxy, and clients in the crowd.
-const DESCRIPTORS: usize = 128;
+const DESCRIPTOR_LIMIT: usize = 128;
 /// A backend's time for a request.
 const SERVICE_TIME_MS: usize = 2000;
 /// A newcomer's deadline.
@@ -24,21 +24,21 @@
 /// A newcomer learns its fate so long after its deadline at the latest.
 const SLACK: Duration = Duration::from_millis(500);
 /// Newcomers that are under way at once, and how many come in turn in the place of each.
-const NEWCOMERS_AT_ONCE: usize = 4;
-const NEWCOMERS_IN_TURN: usize = 20;
+const CONCURRENT_NEW_CLIENTS: usize = 4;
+const NEW_CLIENTS_IN_SEQUENCE: usize = 20;
 
 /// Clients that keep their connections and send again at once, whatever they were answered.
-struct BusyCrowd {
+struct BusyClients {
     _tasks: JoinSet<()>,
     rejected: Arc<watch::Sender<usize>>,
 }
 
-impl BusyCrowd {
+impl BusyClients {
     /// Returns once the proxy has rejected as many requests as there are clients.
     async fn start(addr: SocketAddr) -> Self {
         let mut tasks = JoinSet::new();
         let rejected = Arc::new(watch::Sender::new(0));
-        for _ in 0..DESCRIPTORS {
+        for _ in 0..DESCRIPTOR_LIMIT {
             let rejected = rejected.clone();
             tasks.spawn(async move {
                 loop {
@@ -46,9 +46,9 @@
                 }
             });
         }
-        let enough = 2 * DESCRIPTORS;
+        let enough = 2 * DESCRIPTOR_LIMIT;
         in_time(rejected.subscribe().wait_for(|count| *count >= enough)).await.expect("open");
-        BusyCrowd { _tasks: tasks, rejected }
+        BusyClients { _tasks: tasks, rejected }
     }
 }
 
@@ -72,28 +72,28 @@
 
 /// What a newcomer learnt, and how long after its connect.
 #[derive(Debug, Clone, Copy)]
-struct Fate {
+struct Outcome {
     status: Option<u16>,
-    took: Duration,
+    elapsed: Duration,
 }
 
 /// Connects, sends its request so much later, and waits for its fate: an answer, or the end of its connection, after
 /// which it comes again as long as its deadline lasts.
-async fn come_new(addr: SocketAddr, first_byte_after: Duration) -> Fate {
-    let began = Instant::now();
+async fn connect_until_answered(addr: SocketAddr, send_delay: Duration) -> Outcome {
+    let started_at = Instant::now();
     loop {
-        let status = timeout(DEADLINE + SLACK, try_once(addr, first_byte_after)).await.ok().flatten();
-        let took = began.elapsed();
-        if status.is_some() || took >= DEADLINE {
-            return Fate { status, took };
+        let status = timeout(DEADLINE + SLACK, request_once(addr, send_delay)).await.ok().flatten();
+        let elapsed = started_at.elapsed();
+        if status.is_some() || elapsed >= DEADLINE {
+            return Outcome { status, elapsed };
         }
     }
 }
 
-async fn try_once(addr: SocketAddr, first_byte_after: Duration) -> Option<u16> {
+async fn request_once(addr: SocketAddr, send_delay: Duration) -> Option<u16> {
     let mut stream = TcpStream::connect(addr).await.ok()?;
-    sleep(first_byte_after).await;
-    let id = format!("{:016x}", fresh_id());
+    sleep(send_delay).await;
+    let id = format!("{:016x}", unique_id());
     let deadline_ms = DEADLINE.as_millis();
     let head = format!(
         "GET /look HTTP/1.1\r\nHost: o\r\nReq-Id: {id}\r\nReq-Owner: acme\r\nReq-Deadline-Ms: {deadline_ms}\r\n\r\n"
@@ -103,51 +103,51 @@
 }
 
 /// An id that no other request of this program has.
-fn fresh_id() -> usize {
+fn unique_id() -> usize {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(1 << 60);
     NEXT_ID.fetch_add(1, SeqCst)
 }
 
 /// The fates of newcomers that send so long after their connect.
-async fn newcomers(addr: SocketAddr, first_byte_after: Duration) -> Vec<Fate> {
-    let mut lanes = JoinSet::new();
-    for _ in 0..NEWCOMERS_AT_ONCE {
-        lanes.spawn(async move {
-            let mut fates = Vec::new();
-            for _ in 0..NEWCOMERS_IN_TURN {
-                fates.push(come_new(addr, first_byte_after).await);
+async fn run_new_clients(addr: SocketAddr, send_delay: Duration) -> Vec<Outcome> {
+    let mut tasks = JoinSet::new();
+    for _ in 0..CONCURRENT_NEW_CLIENTS {
+        tasks.spawn(async move {
+            let mut outcomes = Vec::new();
+            for _ in 0..NEW_CLIENTS_IN_SEQUENCE {
+                outcomes.push(connect_until_answered(addr, send_delay).await);
             }
-            fates
+            outcomes
         });
     }
-    lanes.join_all().await.concat()
+    tasks.join_all().await.concat()
 }
 
 /// Newcomers that send at the latest 0.5 s after their connect learn their fate within their deadline and 0.5 s, nine in
 /// ten of them by an answer.
-async fn newcomers_are_answered(first_byte_after: Duration) {
+async fn assert_new_clients_are_answered(send_delay: Duration) {
     let script = Arc::new(BackendScript::default());
     script.service_time_ms.store(SERVICE_TIME_MS, SeqCst);
     let backend = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
     let mut config = discovery.config(settings());
-    config["limits"]["sockets"] = DESCRIPTORS.into();
-    let mut proxy = Proxy::start_as(&config, &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")).await;
+    config["limits"]["sockets"] = DESCRIPTOR_LIMIT.into();
+    let mut proxy = Proxy::start_as(&config, &format!("ulimit -n {DESCRIPTOR_LIMIT}; exec \"$0\"")).await;
     let log = collect_log(&mut proxy);
-    let crowd = BusyCrowd::start(proxy.addr).await;
-    let fates = newcomers(proxy.addr, first_byte_after).await;
-    let rejected = *crowd.rejected.borrow();
-    let answered = fates.iter().filter(|fate| fate.status.is_some()).count();
-    let slowest = fates.iter().map(|fate| fate.took).max().expect("some came");
+    let busy_clients = BusyClients::start(proxy.addr).await;
+    let outcomes = run_new_clients(proxy.addr, send_delay).await;
+    let rejected = *busy_clients.rejected.borrow();
+    let answered = outcomes.iter().filter(|outcome| outcome.status.is_some()).count();
+    let slowest = outcomes.iter().map(|outcome| outcome.elapsed).max().expect("some came");
     println!(
-        "first byte after {first_byte_after:?}: {answered} of {} answered, the slowest after {slowest:?}; {rejected} of the crowd rejected",
-        fates.len()
+        "first byte after {send_delay:?}: {answered} of {} answered, the slowest after {slowest:?}; {rejected} of the crowd rejected",
+        outcomes.len()
     );
     for line in log.lock().expect("no panic").iter().filter(|line| line.contains("no space")) {
         println!("{line}");
     }
     assert!(slowest <= DEADLINE + SLACK, "{slowest:?}");
-    assert!(answered * 10 >= fates.len() * 9, "{answered} of {}", fates.len());
+    assert!(answered * 10 >= outcomes.len() * 9, "{answered} of {}", outcomes.len());
 }
 
 type LogLines = Arc<std::sync::Mutex<Vec<String>>>;
@@ -166,52 +166,52 @@
 }
 
 #[tokio::test]
-async fn newcomers_that_send_at_once_are_answered() {
-    newcomers_are_answered(Duration::ZERO).await;
+async fn new_clients_that_send_at_once_are_answered() {
+    assert_new_clients_are_answered(Duration::ZERO).await;
 }
 
 #[tokio::test]
-async fn newcomers_that_send_20_ms_after_their_connect_are_answered() {
-    newcomers_are_answered(Duration::from_millis(20)).await;
+async fn new_clients_that_send_after_20_ms_are_answered() {
+    assert_new_clients_are_answered(Duration::from_millis(20)).await;
 }
 
 #[tokio::test]
-async fn newcomers_that_send_400_ms_after_their_connect_are_answered() {
-    newcomers_are_answered(Duration::from_millis(400)).await;
+async fn new_clients_that_send_after_400_ms_are_answered() {
+    assert_new_clients_are_answered(Duration::from_millis(400)).await;
 }
 
 /// Clients that the proxy has places for.
-const PLACES: usize = 16;
+const CLIENT_CAPACITY: usize = 16;
 /// The halves of a body.
-const BODY_BEGIN: &str = "bo";
+const BODY_START: &str = "bo";
 const BODY_REST: &str = "dy";
 
-async fn proxy_with_few_places() -> (Backend, Discovery, Proxy) {
+async fn start_proxy_with_few_places() -> (Backend, Discovery, Proxy) {
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
     let mut config = discovery.config(settings());
-    config["limits"]["sockets"] = (2 * PLACES + 32).into();
+    config["limits"]["sockets"] = (2 * CLIENT_CAPACITY + 32).into();
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
     (backend, discovery, proxy)
 }
 
 /// A request up to the middle of its body.
-fn begin_upload() -> String {
-    let head = call("POST /once", &format!("{:016x}", fresh_id()));
-    let length = BODY_BEGIN.len() + BODY_REST.len();
-    head.replace("Host: o\r\n", &format!("Host: o\r\nContent-Length: {length}\r\n")) + BODY_BEGIN
+fn partial_upload() -> String {
+    let head = call("POST /once", &format!("{:016x}", unique_id()));
+    let length = BODY_START.len() + BODY_REST.len();
+    head.replace("Host: o\r\n", &format!("Host: o\r\nContent-Length: {length}\r\n")) + BODY_START
 }
 
 /// Guards against evicting a client that has sent a part of its head for any that comes.
 #[tokio::test]
-async fn a_client_in_the_middle_of_its_head_does_not_give_way_to_one_that_comes() {
-    let (_backend, _discovery, proxy) = proxy_with_few_places().await;
+async fn client_in_the_middle_of_its_head_is_not_evicted() {
+    let (_backend, _discovery, proxy) = start_proxy_with_few_places().await;
     // Given: all places are taken by clients that have sent half of their heads.
     let mut senders = Vec::new();
-    for _ in 0..PLACES {
-        let text = call("GET /look?k=1", &format!("{:016x}", fresh_id()));
+    for _ in 0..CLIENT_CAPACITY {
+        let text = call("GET /look?k=1", &format!("{:016x}", unique_id()));
         let (first, rest) = text.split_at(text.len() / 2);
         let mut sender = connected(proxy.addr).await;
         sender.write_all(first.as_bytes()).await.expect("open");
@@ -230,15 +230,15 @@
 
 /// The same for its body: a client that was served before is not idle in the middle of it.
 #[tokio::test]
-async fn a_client_in_the_middle_of_its_body_does_not_give_way_to_one_that_comes() {
-    let (_backend, _discovery, proxy) = proxy_with_few_places().await;
+async fn client_in_the_middle_of_its_body_is_not_evicted() {
+    let (_backend, _discovery, proxy) = start_proxy_with_few_places().await;
     // Given: all places are taken by clients that were served, and have sent half of the body of their next request.
     let mut senders = Vec::new();
-    for _ in 0..PLACES {
+    for _ in 0..CLIENT_CAPACITY {
         let mut sender = RawConnection::connect(proxy.addr).await;
-        sender.write(call("GET /look", &format!("{:016x}", fresh_id()))).await;
+        sender.write(call("GET /look", &format!("{:016x}", unique_id()))).await;
         assert_eq!(sender.read_answer().await.expect("an answer").0, 200);
-        sender.write(begin_upload()).await;
+        sender.write(partial_upload()).await;
         all_is_read(&proxy, &sender).await;
         senders.push(sender);
     }
@@ -255,54 +255,54 @@
 
 /// Guards against clients that stop in the middle of their bodies and keep all others out.
 #[tokio::test]
-async fn clients_that_stop_in_the_middle_of_their_bodies_keep_nobody_out() {
-    let (_backend, _discovery, proxy) = proxy_with_few_places().await;
+async fn stalled_uploads_do_not_block_new_clients() {
+    let (_backend, _discovery, proxy) = start_proxy_with_few_places().await;
     // Given: more of them than there are places, those included whose clients are only rejected.
-    let mut stopped = Vec::new();
-    for _ in 0..4 * PLACES {
+    let mut stalled = Vec::new();
+    for _ in 0..4 * CLIENT_CAPACITY {
         let mut client = RawConnection::connect(proxy.addr).await;
-        client.write(begin_upload()).await;
-        stopped.push(client);
+        client.write(partial_upload()).await;
+        stalled.push(client);
     }
     // When: another comes. Then: it is served, long before their time is over.
-    let begun_at = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(proxy.call("look").await.0, 200);
-    assert!(begun_at.elapsed() < DEADLINE, "{:?}", begun_at.elapsed());
+    assert!(started_at.elapsed() < DEADLINE, "{:?}", started_at.elapsed());
 }
 
 /// Memory that the proxy may use.
 const MEMORY_MB: usize = 32;
 /// So often a client of the crowd is shut out.
-const SHUT_OUT_TIMES: usize = 100_000;
+const CLOSED_CONNECTIONS: usize = 100_000;
 
 /// Guards against ended connections that stay in the accept loop's set and fill the memory.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crowd_that_comes_again_and_again_does_not_fill_the_memory() {
+async fn reconnecting_clients_do_not_exhaust_the_memory() {
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
     let mut config = discovery.config(settings());
-    config["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTORS});
-    let proxy = Proxy::start_as(&config, &format!("ulimit -n {DESCRIPTORS}; exec \"$0\"")).await;
-    let shut_out = Arc::new(watch::Sender::new(0));
-    let mut crowd = JoinSet::new();
-    for _ in 0..DESCRIPTORS {
-        let (addr, shut_out) = (proxy.addr, shut_out.clone());
-        crowd.spawn(async move {
+    config["limits"] = serde_json::json!({"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": DESCRIPTOR_LIMIT});
+    let proxy = Proxy::start_as(&config, &format!("ulimit -n {DESCRIPTOR_LIMIT}; exec \"$0\"")).await;
+    let closed = Arc::new(watch::Sender::new(0));
+    let mut busy_clients = JoinSet::new();
+    for _ in 0..DESCRIPTOR_LIMIT {
+        let (addr, closed) = (proxy.addr, closed.clone());
+        busy_clients.spawn(async move {
             loop {
-                send_improper_request(addr).await;
-                shut_out.send_modify(|count| *count += 1);
+                send_malformed_request(addr).await;
+                closed.send_modify(|count| *count += 1);
             }
         });
     }
-    in_time(shut_out.subscribe().wait_for(|count| *count >= SHUT_OUT_TIMES)).await.expect("open");
+    in_time(closed.subscribe().wait_for(|count| *count >= CLOSED_CONNECTIONS)).await.expect("open");
     let resident_mb = proxy.resident_mb();
     println!("{resident_mb} MB");
-    assert!(resident_mb < MEMORY_MB, "{resident_mb} MB after {SHUT_OUT_TIMES} connections");
+    assert!(resident_mb < MEMORY_MB, "{resident_mb} MB after {CLOSED_CONNECTIONS} connections");
 }
 
 /// Sends what is no request, and waits until the connection is shut.
-async fn send_improper_request(addr: SocketAddr) {
+async fn send_malformed_request(addr: SocketAddr) {
     let Ok(mut stream) = TcpStream::connect(addr).await else { return };
     // One that is reset was shut, too.
     let _ = stream.write_all(b"nothing\r\n\r\n").await;
--- a/crates/proxy/tests/restart.rs
+++ b/crates/proxy/tests/restart.rs
@@ -9,18 +9,18 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-async fn ready(proxy: &Proxy) -> bool {
+async fn is_ready(proxy: &Proxy) -> bool {
     let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("it listens");
-    let get = b"GET /health/ready HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n";
+    let request = b"GET /health/ready HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n";
     let mut answer = Vec::new();
-    let _ = stream.write_all(get).await;
+    let _ = stream.write_all(request).await;
     let _ = in_time(stream.read_to_end(&mut answer)).await;
     answer.starts_with(b"HTTP/1.1 200 ")
 }
 
-fn config(discovery: &Discovery, how: &str, known: Option<&[Value]>) -> Value {
+fn config(discovery: &Discovery, mode: &str, known: Option<&[Value]>) -> Value {
     let mut settings = settings();
-    settings["discovery"] = how.into();
+    settings["discovery"] = mode.into();
     settings["guarantees"]["askWithin"] = 1000.0.into();
     let mut config = discovery.config(settings);
     if let Some(hosts) = known {
@@ -32,8 +32,8 @@
 /// With a list that it had, also an old one, it waits for nothing: its first answer says ready, and it
 /// serves, also a crowd that comes at once. What discovery has to tell at its return holds.
 #[tokio::test]
-async fn with_a_known_list_it_is_ready_at_once() {
-    for (how, down) in [
+async fn proxy_with_a_known_list_is_ready_at_once() {
+    for (mode, outage) in [
         ("automatic", DiscoveryBehavior::Refusing),
         ("automatic", DiscoveryBehavior::Silent),
         ("subscribe", DiscoveryBehavior::Refusing),
@@ -41,41 +41,43 @@
     ] {
         let script = Arc::new(BackendScript::default());
         let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
-        let gone = TcpStream::connect(a.addr).await.expect("it listens").local_addr().expect("bound");
-        let stale = [line("gone", gone, "SERVING"), a.line("SERVING")];
+        let refusing_addr =
+            TcpStream::connect(a.addr).await.expect("it listens").local_addr().expect("bound");
+        let stale = [line("gone", refusing_addr, "SERVING"), a.line("SERVING")];
         let discovery = Discovery::start(vec![b.line("SERVING")]).await;
-        discovery.set(down).await;
-        let proxy = Proxy::start_as(&config(&discovery, how, Some(&stale)), "exec \"$0\"").await;
-        assert!(ready(&proxy).await, "{how}");
-        let mut clients = JoinSet::new();
+        discovery.set(outage).await;
+        let proxy = Proxy::start_as(&config(&discovery, mode, Some(&stale)), "exec \"$0\"").await;
+        assert!(is_ready(&proxy).await, "{mode}");
+        let mut calls = JoinSet::new();
         for _ in 0..8 {
             let mut client = proxy.client().await;
-            clients.spawn(async move { client.call("look").await });
+            calls.spawn(async move { client.call("look").await });
         }
-        while let Some(answer) = clients.join_next().await {
+        while let Some(answer) = calls.join_next().await {
             assert_eq!(answer.expect("no panic"), (200, "a".into()));
         }
         discovery.set(DiscoveryBehavior::Up).await;
         discovery.wait_until_applied().await;
-        assert!(ready(&proxy).await);
+        assert!(is_ready(&proxy).await);
         assert_eq!(proxy.call("look").await, (200, "b".into()));
     }
 }
 
 /// Without one it can't serve, and doesn't say so before it can; then it does.
 #[tokio::test]
-async fn without_a_list_it_is_ready_once_discovery_has_sent_one() {
-    for (how, down) in [("automatic", DiscoveryBehavior::Refusing), ("subscribe", DiscoveryBehavior::Silent)]
+async fn proxy_without_a_list_is_ready_once_it_gets_one() {
+    for (mode, outage) in
+        [("automatic", DiscoveryBehavior::Refusing), ("subscribe", DiscoveryBehavior::Silent)]
     {
         let script = Arc::new(BackendScript::default());
         let a = Backend::start("a", &script).await;
         let discovery = Discovery::start(vec![a.line("SERVING")]).await;
-        discovery.set(down).await;
-        let proxy = Proxy::start_as(&config(&discovery, how, None), "exec \"$0\"").await;
-        assert!(!ready(&proxy).await, "{how}");
+        discovery.set(outage).await;
+        let proxy = Proxy::start_as(&config(&discovery, mode, None), "exec \"$0\"").await;
+        assert!(!is_ready(&proxy).await, "{mode}");
         discovery.set(DiscoveryBehavior::Up).await;
         discovery.wait_until_applied().await;
-        assert!(ready(&proxy).await, "{how}");
+        assert!(is_ready(&proxy).await, "{mode}");
         assert_eq!(proxy.call("look").await, (200, "a".into()));
     }
 }
--- a/crates/proxy/tests/start_faults.rs
+++ b/crates/proxy/tests/start_faults.rs
@@ -8,7 +8,7 @@
 use support::*;
 
 /// A discovery with one backend, and the configuration of a proxy with an admin API.
-async fn fixture() -> (Arc<BackendScript>, Backend, Discovery, Value) {
+async fn start_fixture() -> (Arc<BackendScript>, Backend, Discovery, Value) {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.line("SERVING")]).await;
@@ -19,14 +19,14 @@
 
 /// Guards against a start that fails since its configuration could not be read for a moment.
 #[tokio::test]
-async fn a_start_waits_for_a_configuration_that_cannot_be_read_for_a_moment() {
+async fn start_retries_an_unreadable_configuration() {
     for error in [Errno::ENFILE, Errno::EIO, Errno::ENOENT] {
-        let (_script, _a, discovery, config) = fixture().await;
-        let calls = FailingCalls::none();
-        calls.fail("open", error);
-        let mut starting = StartingProxy::spawn(&config, &calls.command());
+        let (_script, _a, discovery, config) = start_fixture().await;
+        let failing_calls = FailingCalls::none();
+        failing_calls.fail("open", error);
+        let mut starting = StartingProxy::spawn(&config, &failing_calls.command());
         starting.logged("read again").await;
-        calls.succeed();
+        failing_calls.succeed();
         let proxy = starting.listening().await;
         discovery.wait_until_applied().await;
         assert_eq!(proxy.call("look").await, (200, "a".into()), "{error}");
@@ -35,14 +35,14 @@
 
 /// Guards against a start that fails since its addresses could not be bound for a moment.
 #[tokio::test]
-async fn a_start_waits_for_addresses_that_cannot_be_bound_for_a_moment() {
+async fn start_retries_addresses_that_cannot_be_bound() {
     for error in [Errno::EADDRINUSE, Errno::ENOBUFS, Errno::ENOMEM] {
-        let (_script, _a, discovery, config) = fixture().await;
-        let calls = FailingCalls::none();
-        calls.fail("bind", error);
-        let mut starting = StartingProxy::spawn(&config, &calls.command());
+        let (_script, _a, discovery, config) = start_fixture().await;
+        let failing_calls = FailingCalls::none();
+        failing_calls.fail("bind", error);
+        let mut starting = StartingProxy::spawn(&config, &failing_calls.command());
         starting.logged("bound again").await;
-        calls.succeed();
+        failing_calls.succeed();
         let proxy = starting.listening().await;
         discovery.wait_until_applied().await;
         assert_eq!(proxy.call("look").await, (200, "a".into()), "{error}");
@@ -51,14 +51,14 @@
 
 /// Guards against a new configuration's signal that ends a process which has just begun to start.
 #[tokio::test]
-async fn a_hangup_during_the_start_does_not_end_the_process() {
-    let (_script, _a, discovery, config) = fixture().await;
-    let calls = FailingCalls::none();
-    calls.fail("open", Errno::EIO);
-    let mut starting = StartingProxy::spawn(&config, &calls.command());
+async fn sighup_during_the_start_does_not_end_the_process() {
+    let (_script, _a, discovery, config) = start_fixture().await;
+    let failing_calls = FailingCalls::none();
+    failing_calls.fail("open", Errno::EIO);
+    let mut starting = StartingProxy::spawn(&config, &failing_calls.command());
     starting.logged("read again").await;
     starting.kill("-HUP").await;
-    calls.succeed();
+    failing_calls.succeed();
     let proxy = starting.listening().await;
     discovery.wait_until_applied().await;
     assert_eq!(proxy.call("look").await, (200, "a".into()));
--- a/crates/proxy/tests/upgrade_limits.rs
+++ b/crates/proxy/tests/upgrade_limits.rs
@@ -13,12 +13,12 @@
 use tokio::time::{Instant, sleep};
 
 /// Descriptors of all processes of the proxy together.
-const DESCRIPTORS: usize = 128;
+const DESCRIPTOR_LIMIT: usize = 128;
 /// Clients that come at once, each with a connection to a backend for so long.
-const CLIENTS_AT_ONCE: usize = 40;
+const CONCURRENT_CLIENTS: usize = 40;
 const SERVICE_TIME_MS: usize = 200;
 /// How long the descriptors are watched.
-const WATCHED: Duration = Duration::from_secs(2);
+const WATCH_DURATION: Duration = Duration::from_secs(2);
 /// How often they are counted.
 const COUNT_INTERVAL: Duration = Duration::from_millis(5);
 
@@ -38,21 +38,21 @@
         let backend = Backend::start("a", &script).await;
         let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
         let mut config = discovery.config(settings());
-        config["limits"]["sockets"] = DESCRIPTORS.into();
+        config["limits"]["sockets"] = DESCRIPTOR_LIMIT.into();
         config["management"] = "127.0.0.1:0".into();
         let old = Proxy::start_as(&config, "exec \"$0\"").await;
         discovery.wait_until_applied().await;
         let clients = Vec::new();
         let mut fixture = Fixture { _backend: backend, _discovery: discovery, config, old, clients };
-        fixture.fill().await;
+        fixture.fill_with_connections().await;
         fixture
     }
 
     /// Lets clients come at once, and stay, until more than a half of the descriptors is held.
-    async fn fill(&mut self) {
-        while self.old_descriptors() <= DESCRIPTORS / 2 {
+    async fn fill_with_connections(&mut self) {
+        while self.old_descriptors() <= DESCRIPTOR_LIMIT / 2 {
             let mut calls = JoinSet::new();
-            for _ in 0..CLIENTS_AT_ONCE {
+            for _ in 0..CONCURRENT_CLIENTS {
                 let mut client = self.old.client().await;
                 calls.spawn(async move {
                     client.call("look").await;
@@ -68,11 +68,11 @@
     }
 
     /// A process beside the old one, which gets no endpoint list.
-    async fn start_waiting_process(&self) -> WaitingProcess {
+    async fn start_new_process(&self) -> StartingProcess {
         let discovery = Discovery::start(Vec::new()).await;
         discovery.set(DiscoveryBehavior::Silent).await;
         let mut config = discovery.config(settings());
-        config["limits"]["sockets"] = DESCRIPTORS.into();
+        config["limits"]["sockets"] = DESCRIPTOR_LIMIT.into();
         config["management"] = "127.0.0.1:0".into();
         config["listen"] = self.config["listen"].clone();
         let child = Command::new(env!("CARGO_BIN_EXE_foldhitch-proxy"))
@@ -84,7 +84,7 @@
             .kill_on_drop(true)
             .spawn()
             .expect("it starts");
-        WaitingProcess { child, _discovery: discovery }
+        StartingProcess { child, _discovery: discovery }
     }
 
     async fn wait_until_old_holds(&self, is_enough: impl Fn(usize) -> bool) {
@@ -97,12 +97,12 @@
     }
 }
 
-struct WaitingProcess {
+struct StartingProcess {
     child: Child,
     _discovery: Discovery,
 }
 
-impl WaitingProcess {
+impl StartingProcess {
     fn descriptors(&self) -> usize {
         count_descriptors(&format!("/proc/{}/fd", self.child.id().expect("it runs")))
     }
@@ -114,34 +114,34 @@
 
 /// Both hold no more than the limit, from the start of the new one on, and the old one gives up its half.
 #[tokio::test]
-async fn descriptors_are_shared_with_a_process_that_does_not_serve_yet() {
+async fn descriptors_are_shared_with_a_starting_process() {
     let fixture = Fixture::new().await;
-    let new = fixture.start_waiting_process().await;
-    let watched_until = Instant::now() + WATCHED;
+    let new = fixture.start_new_process().await;
+    let watched_until = Instant::now() + WATCH_DURATION;
     while Instant::now() < watched_until {
         let held = fixture.old_descriptors() + new.descriptors();
-        assert!(held <= DESCRIPTORS, "{held} descriptors are held");
+        assert!(held <= DESCRIPTOR_LIMIT, "{held} descriptors are held");
         sleep(COUNT_INTERVAL).await;
     }
-    assert!(fixture.old_descriptors() <= DESCRIPTORS / 2);
+    assert!(fixture.old_descriptors() <= DESCRIPTOR_LIMIT / 2);
 }
 
 /// The half of a process that ends before it serves is there again.
 #[tokio::test]
-async fn what_a_process_held_that_never_served_comes_back() {
+async fn descriptors_return_when_the_starting_process_ends() {
     let mut fixture = Fixture::new().await;
-    let mut new = fixture.start_waiting_process().await;
-    fixture.wait_until_old_holds(|held| held <= DESCRIPTORS / 2).await;
+    let mut new = fixture.start_new_process().await;
+    fixture.wait_until_old_holds(|held| held <= DESCRIPTOR_LIMIT / 2).await;
     new.child.kill().await.expect("it runs");
-    in_time(fixture.fill()).await;
+    in_time(fixture.fill_with_connections()).await;
 }
 
 /// Who does not serve yet is no successor: the process that is told to stop goes on as if it were alone.
 #[tokio::test]
-async fn a_stop_while_the_new_process_waits_for_its_list_is_that_of_a_process_alone() {
+async fn shutdown_before_the_new_process_serves_keeps_serving() {
     let mut fixture = Fixture::new().await;
-    let _new = fixture.start_waiting_process().await;
-    fixture.wait_until_old_holds(|held| held <= DESCRIPTORS / 2).await;
+    let _new = fixture.start_new_process().await;
+    fixture.wait_until_old_holds(|held| held <= DESCRIPTOR_LIMIT / 2).await;
     fixture.old.terminate().await;
     assert_eq!(fixture.old.call("look").await.0, 200);
     assert!(fixture.old.ended().await.success());
