--- a/crates/proxy/tests/first_response_copies.rs
+++ b/crates/proxy/tests/first_response_copies.rs
@@ -1,7 +1,8 @@
-//! Backends of which it is not known yet that they send responses again: no client gets the first copies.
+//! Backends that send copies of their responses, which the proxy does not know yet: no client gets the first
+//! copies.
 //!
-//! A copy is written once its backend has read the next request on the connection, and the response proper once the
-//! test lets it.
+//! A backend writes the copy of a response once it has read the next request on the connection, and the
+//! response to that request once the test opens the gate.
 
 mod support;
 
@@ -15,57 +16,57 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// The response proper comes so long after the copy of the one before.
+/// The time from the copy of the previous response to the response to the current request.
 const RESPONSE_DELAY: Duration = Duration::from_millis(100);
-/// The deadline of requests where it matters.
+/// The deadline of the requests.
 const DEADLINE: Duration = Duration::from_secs(3);
-/// The deadline of requests that are in a hurry.
+/// The deadline of requests that test short deadlines.
 const SHORT_DEADLINE: Duration = Duration::from_millis(300);
-/// The final answer comes no later than this after a deadline, or its request is lost.
+/// The longest time from a deadline to the final answer; a request without an answer by then counts as lost.
 const MAX_LATENESS: Duration = Duration::from_millis(500);
-/// The latency objective where it matters.
+/// The latency objective in tests that depend on it.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(200);
-/// Requests in a row to a backend whose responses are equal, and rightly so.
+/// The number of requests that each client sends to backends whose responses are equal without being copies.
 const CALLS_PER_CLIENT: usize = 300;
-/// Mean time of an answer to one of them, as a share of the objective.
+/// The highest mean response time of these requests, as a fraction of the latency objective.
 const MAX_MEAN_OBJECTIVE_FRACTION: f64 = 0.1;
-/// Requests on one connection once the backend repeats.
+/// The number of requests on one connection after the backend has begun to send copies.
 const CALLS: usize = 5;
-/// Busy clients at once.
+/// The number of clients that send requests at the same time.
 const CONCURRENT_CLIENTS: usize = 5;
 
-/// What a backend does for a request.
+/// The response of a backend to a request, and how it is sent.
 struct Exchange {
     response: Vec<u8>,
-    /// Whether the response is written again once the next request on its connection has come.
+    /// Whether a copy of the response is written once the next request on its connection has been read.
     has_copy: bool,
-    /// Whether the response waits at the gate.
+    /// Whether the response waits until the test opens the gate.
     is_held: bool,
 }
 
 impl Exchange {
-    /// One as of any sound backend.
+    /// An exchange of a backend that sends no copies.
     fn without_copy(response: Vec<u8>) -> Self {
         Exchange { response, has_copy: false, is_held: false }
     }
 }
 
-/// How a copy is written before the response proper.
+/// How a copy is written before the response to the next request.
 #[derive(Clone, Copy)]
 enum CopyDelivery {
     Whole,
     HeadThenBody,
-    /// In one write with the response proper.
+    /// In one write with the response to the next request.
     WithResponse,
 }
 
-/// Between two pieces of a copy.
+/// The pause between two pieces of a response.
 const PIECE_DELAY: Duration = Duration::from_millis(5);
 
-/// What stands behind the proxy, and what it is set to.
+/// The number of backends and the settings of the proxy.
 struct Deployment {
     backends: usize,
-    /// A request whose backend declined it waits no longer than this for another try.
+    /// The longest time that a request waits for another attempt after its backend has declined it.
     latency_objective: Duration,
 }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// Backends that send responses again, and the proxy before them.
+/// Backends that send copies of their responses, and a proxy in front of them.
 struct Fixture {
     backends: Vec<ScriptedBackend>,
     gate: Arc<Gate>,
@@ -84,7 +85,8 @@
 }
 
 impl Fixture {
-    /// With backends that do what is given for the n-th request on a connection, by the request's id.
+    /// Starts backends that take, for the n-th request on a connection and its id, the exchange that is
+    /// given.
     async fn new(
         deployment: Deployment,
         delivery: CopyDelivery,
@@ -109,12 +111,13 @@
         Fixture { backends, gate, _discovery: discovery, proxy }
     }
 
-    /// How often a request came to any backend.
+    /// Returns how often a request was received by all backends together.
     fn times_received(&self, id: &str) -> usize {
         self.backends.iter().map(|backend| backend.times_received(id)).sum()
     }
 
-    /// Sends requests in a row, each held at the gate for the time given, and gives each one's id and answer.
+    /// Sends requests one after another, each held at the gate for the given time, and returns their ids and
+    /// answers.
     async fn call_sequentially(&self, class: &str, count: usize, delay: Duration) -> Vec<Answered> {
         let calls = send_in_a_row(&self.proxy, count, || request_with_deadline(class, DEADLINE));
         let openings = async {
@@ -126,11 +129,11 @@
         };
         tokio::select! {
             answers = calls => answers,
-            () = openings => unreachable!("it goes on for ever"),
+            () = openings => unreachable!("the loop never ends"),
         }
     }
 
-    /// Each request is served with its own answer, and ran once.
+    /// Checks that each request got its own response and ran once.
     fn assert_own_responses(&self, answers: Vec<Answered>) {
         let wrong: Vec<_> =
             answers.iter().enumerate().filter(|(_, (id, answer))| *answer != (200, id.clone())).collect();
@@ -141,6 +144,8 @@
     }
 }
 
+/// Serves a connection, and writes the copy of each response that has one before the response to the next
+/// request.
 async fn serve_with_copies(
     mut connection: BackendConnection,
     delivery: CopyDelivery,
@@ -174,7 +179,7 @@
     }
 }
 
-/// One client before a backend that begins to repeat with the response after so many.
+/// Checks that one client gets its own responses from a backend that sends copies after `distinct` responses.
 async fn assert_first_copy_is_dropped(distinct: usize, delivery: CopyDelivery) {
     let fixture = Fixture::new(Deployment::default(), delivery, move |count, id| Exchange {
         response: own_response(id),
@@ -186,37 +191,38 @@
     fixture.assert_own_responses(answers);
 }
 
-/// The copy of a response is taken for the next one, which comes later on the same connection.
+/// Guards against taking the copy of a response for the response to the next request on the same connection.
 #[tokio::test]
 async fn first_copy_does_not_answer_the_next_request() {
     assert_first_copy_is_dropped(3, CopyDelivery::Whole).await;
 }
 
-/// As before, where nothing is known: the first response of the process is repeated.
+/// The same when nothing is known of the backend: its first response to the proxy has a copy.
 #[tokio::test]
 async fn copy_of_the_very_first_response_is_dropped() {
     assert_first_copy_is_dropped(0, CopyDelivery::Whole).await;
 }
 
-/// As before, where the backend seems to be sound.
+/// The same when the backend has sent many responses without copies.
 #[tokio::test]
 async fn first_copy_after_many_distinct_responses_is_dropped() {
     assert_first_copy_is_dropped(50, CopyDelivery::Whole).await;
 }
 
-/// The head of a copy comes first: it is no word on what follows.
+/// Guards against passing the head of a copy on when it is received before the body.
 #[tokio::test]
 async fn first_copy_in_two_writes_is_dropped() {
     assert_first_copy_is_dropped(3, CopyDelivery::HeadThenBody).await;
 }
 
-/// The first of two responses in one write is taken, and the second thrown away.
+/// Guards against taking the first of two responses in one write and discarding the second.
 #[tokio::test]
 async fn first_copy_coalesced_with_the_response_is_dropped() {
     assert_first_copy_is_dropped(3, CopyDelivery::WithResponse).await;
 }
 
-/// One client before a backend that repeats one response, and takes so long for the one behind it.
+/// Checks that one client gets its own responses from a backend that sends one copy, and whose response to
+/// the next request follows after `delay`.
 async fn assert_delayed_response_is_awaited(delay: Duration) {
     const DISTINCT: usize = 20;
     let fixture = Fixture::new(Deployment::default(), CopyDelivery::Whole, |count, id| Exchange {
@@ -229,25 +235,27 @@
     fixture.assert_own_responses(answers);
 }
 
-/// The response behind a copy takes longer than its backend's responses ever took: waiting for it ends too early.
+/// Guards against ending the wait for the response after a copy too early, when the response takes longer than
+/// any earlier response of its backend.
 #[tokio::test]
 async fn first_copy_300_ms_before_the_response_is_dropped() {
     assert_delayed_response_is_awaited(Duration::from_millis(300)).await;
 }
 
-/// As before, with a third of the deadline gone.
+/// The same when a third of the deadline has passed.
 #[tokio::test]
 async fn first_copy_1_s_before_the_response_is_dropped() {
     assert_delayed_response_is_awaited(Duration::from_secs(1)).await;
 }
 
-/// A backend whose responses differ, and that then gives each of them to two requests: waiting for what may come behind
-/// one of them delays every other client.
+/// Guards against holding every second response of a backend whose responses differ at first, and which later
+/// gives each response to two requests: waiting for another response after each possible copy delays every
+/// second request.
 #[tokio::test]
 async fn later_equal_responses_delay_at_most_one_request() {
     const DISTINCT: usize = 20;
     const EQUAL_PAIRS: usize = 10;
-    /// Longer than a response is held at a backend that is known to give equal ones.
+    /// Longer than a response is held if its backend is known to send equal responses.
     const LONG_DELAY: Duration = Duration::from_millis(500);
     let received = AtomicUsize::new(0);
     let (_backend, _discovery, proxy) = start_scripted(move |_, _| {
@@ -267,7 +275,7 @@
     assert!(times.iter().filter(|&&time| time > LONG_DELAY).count() <= 1, "{times:?}");
 }
 
-/// One client before a backend that sends its responses in chunks.
+/// Checks that one client gets its own responses from a backend that sends chunked responses.
 async fn assert_first_chunked_copy_is_dropped(delivery: CopyDelivery) {
     let fixture = Fixture::new(Deployment::default(), delivery, |count, id| Exchange {
         response: chunked_response(id),
@@ -279,34 +287,38 @@
     fixture.assert_own_responses(answers);
 }
 
-/// As with a length: where the end of a copy lies says its framing.
+/// Guards against missing the end of a chunked copy, which its framing states as a Content-Length does.
 #[tokio::test]
 async fn first_chunked_copy_is_dropped() {
     assert_first_chunked_copy_is_dropped(CopyDelivery::Whole).await;
 }
 
-/// The head of a copy in chunks comes first, and says no length.
+/// Guards against passing the head of a chunked copy on, which states no length, when it is received before
+/// the body.
 #[tokio::test]
 async fn first_chunked_copy_in_two_writes_is_dropped() {
     assert_first_chunked_copy_is_dropped(CopyDelivery::HeadThenBody).await;
 }
 
-/// The response proper stands right behind the last chunk of a copy.
+/// Guards against losing a response that directly follows the last chunk of a copy.
 #[tokio::test]
 async fn first_chunked_copy_coalesced_with_response_is_dropped() {
     assert_first_chunked_copy_is_dropped(CopyDelivery::WithResponse).await;
 }
 
+/// Returns a response in one chunk, the id of its request.
 fn chunked_response(id: &str) -> Vec<u8> {
     format!("HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n10\r\n{id}\r\n0\r\n\r\n").into_bytes()
 }
 
+/// Returns a response in two chunks, the id of its request and the padding.
 fn padded_chunked_response(id: &str, padding: &str) -> Vec<u8> {
     let (head, length) = ("HTTP/1.1 200 X\r\nTransfer-Encoding: chunked", padding.len());
     format!("{head}\r\n\r\n10\r\n{id}\r\n{length:x}\r\n{padding}\r\n0\r\n\r\n").into_bytes()
 }
 
-/// Clients that each send one request at a time, all at once, each on a connection of its own to one of two backends.
+/// Concurrent clients with one request at a time each, each request on its own connection to one of two
+/// backends.
 struct BusyClients {
     fixture: Fixture,
     clients: Vec<Client>,
@@ -317,7 +329,8 @@
 
 impl BusyClients {
     async fn new(delivery: CopyDelivery) -> Self {
-        // Two backends, since fewer requests than this are let through to one of which nothing is known.
+        // The concurrency limit of one unknown backend is lower than the number of clients, hence two
+        // backends.
         let deployment = Deployment { backends: 2, ..Deployment::default() };
         let fixture = Fixture::new(deployment, delivery, |_, id| Exchange {
             response: own_response(id),
@@ -332,7 +345,7 @@
         BusyClients { fixture, clients, calls: JoinSet::new(), answers: Vec::new(), rounds: 0 }
     }
 
-    /// Sends a request of each client, and waits until all are at the gate.
+    /// Sends one request for each client, and waits until all of them are held at the gate.
     async fn send_all(&mut self) {
         self.rounds += 1;
         for mut client in self.clients.drain(..) {
@@ -344,7 +357,7 @@
         self.fixture.gate.wait_for_arrivals(self.rounds * CONCURRENT_CLIENTS).await;
     }
 
-    /// Waits for the answers to all of them.
+    /// Waits for the answers to all open requests.
     async fn receive_all(&mut self) {
         while let Some(call) = self.calls.join_next().await {
             let (client, answer) = call.expect("no panic");
@@ -353,7 +366,7 @@
         }
     }
 
-    /// Waits until so many connections of the proxy to its backends have something that it has not read.
+    /// Waits until `count` connections of the proxy to its backends have unread bytes.
     async fn wait_for_unread_responses(&self, count: usize) {
         let ports: Vec<u16> = self.fixture.backends.iter().map(|backend| backend.addr.port()).collect();
         let is_unread = |row: &Row| ports.contains(&row.remote) && row.unread > 0;
@@ -366,7 +379,8 @@
     }
 }
 
-/// Copies come on all connections before any of them has carried the response proper by which the backend were known.
+/// Guards against copies on all connections at once, before any response after a copy has shown that the
+/// backends send copies.
 #[tokio::test]
 async fn first_copies_on_all_busy_connections_are_dropped() {
     let mut busy = BusyClients::new(CopyDelivery::Whole).await;
@@ -379,28 +393,29 @@
     busy.fixture.assert_own_responses(busy.answers);
 }
 
-/// Copies come on all connections in one turn of the proxy, each right before the response proper: what one of them
-/// tells of its backend comes too late for the others, and for itself.
+/// Guards against copies that the proxy reads on all connections in one turn, each together with the response
+/// that follows it: what the first copy shows of its backend is known too late for the others and for itself.
 #[tokio::test]
 async fn first_copies_read_with_the_responses_are_dropped() {
     let mut busy = BusyClients::new(CopyDelivery::WithResponse).await;
-    // Given: connections that have each carried a response whose copy has not come, and a request now.
+    // Given: on each connection one response, whose copy is still to come, and one open request.
     busy.send_all().await;
     busy.fixture.gate.open(CONCURRENT_CLIENTS);
     busy.receive_all().await;
     busy.send_all().await;
-    // When: the copy and the response proper lie on each of them before the proxy's next turn.
+    // When: each connection has the copy and the response to the open request buffered before the proxy reads
+    // again.
     busy.fixture.proxy.pause().await;
     busy.fixture.gate.open(CONCURRENT_CLIENTS);
     busy.wait_for_unread_responses(CONCURRENT_CLIENTS).await;
     busy.fixture.proxy.resume_process().await;
     busy.receive_all().await;
-    // Then: each gets its own answer.
+    // Then: each request gets its own response.
     busy.fixture.assert_own_responses(busy.answers);
 }
 
-/// One client before a backend that fails one request, the one after so many, and repeats that error once it has the
-/// next request.
+/// Checks that one client gets its own responses from backends that answer the request after `errors_at`
+/// others with an error, and send a copy of the error once they have read the next request.
 async fn assert_error_copy_is_dropped(backends: usize, status: u16, headers: &'static str, errors_at: usize) {
     let runs = Arc::new(Mutex::new(HashMap::<String, usize>::new()));
     let (backend_runs, received) = (runs.clone(), AtomicUsize::new(0));
@@ -422,42 +437,42 @@
     };
     let wrong: Vec<_> = answers.iter().enumerate().filter(|(_, answer)| !is_correct(answer)).collect();
     assert!(wrong.is_empty(), "{} of {}: {wrong:?}, runs {runs:?}", wrong.len(), answers.len());
-    // The error answers one request at the most.
+    // At most one request is answered with the error.
     assert!(answers.iter().filter(|(_, (status, _))| *status != 200).count() <= 1, "{answers:?}");
 }
 
-/// The copy of a declining response says that the next request was not run, though it runs: it is answered as rejected.
+/// Guards against rejecting a request that runs: the copy of a declined response states that it was not run.
 #[tokio::test]
 async fn copy_of_a_rejection_does_not_reject_the_next_request() {
     assert_error_copy_is_dropped(1, 503, "Srv-Declined: 1\r\n", 3).await;
 }
 
-/// As before, where the first response of all declines.
+/// The same when the first response of the backend is a declined one.
 #[tokio::test]
 async fn copy_of_a_first_rejection_does_not_reject_the_next() {
     assert_error_copy_is_dropped(1, 503, "Srv-Declined: 1\r\n", 0).await;
 }
 
-/// As before, where another backend is left to send the request to: it runs twice.
+/// The same when another backend is left to retry the request on, so that it would run twice.
 #[tokio::test]
 async fn copy_of_a_rejection_does_not_cause_a_retry() {
     assert_error_copy_is_dropped(2, 503, "Srv-Declined: 1\r\n", 3).await;
 }
 
-/// The copy of an error fails the next request, which is served.
+/// Guards against failing a request with the copy of the previous error although the backend serves it.
 #[tokio::test]
 async fn copy_of_an_error_does_not_fail_the_next_request() {
     assert_error_copy_is_dropped(1, 500, "", 3).await;
 }
 
-/// As before, where the first response of all is an error.
+/// The same when the first response of the backend is an error.
 #[tokio::test]
 async fn copy_of_a_first_error_does_not_fail_the_next_request() {
     assert_error_copy_is_dropped(1, 500, "", 0).await;
 }
 
-/// So many clients send requests in a row to backends that answer all of them alike, and write the response again behind
-/// the next request where it is told. Each request is served, runs once, and the mean of their times is bound.
+/// Checks requests of several clients to backends that send the same response to all of them, and a copy of
+/// it where `has_copy` says so: each request is served and runs once, and the mean response time is bounded.
 async fn assert_equal_responses_are_served(clients: usize, deadline: Duration, has_copy: fn(usize) -> bool) {
     let deployment = Deployment { backends: 2, latency_objective: LATENCY_OBJECTIVE };
     let fixture = Fixture::new(deployment, CopyDelivery::Whole, move |count, _| Exchange {
@@ -479,27 +494,27 @@
     let wrong: Vec<_> = answers.iter().filter(|(_, answer)| *answer != (200, "equal".to_string())).collect();
     assert!(wrong.is_empty(), "{} of {}: {:?}", wrong.len(), answers.len(), &wrong[..wrong.len().min(5)]);
     for (id, _) in answers {
-        assert_eq!(fixture.times_received(&id), 1, "{id}");
+        assert_eq!(fixture.times_received(&id), 1, "{id} ran twice or never");
     }
     assert!(
         mean <= LATENCY_OBJECTIVE.mul_f64(MAX_MEAN_OBJECTIVE_FRACTION),
-        "an answer takes {mean:?} in the mean"
+        "the mean response time is {mean:?}"
     );
 }
 
-/// Equal responses are held as if they were copies.
+/// Guards against holding equal responses as if they were copies.
 #[tokio::test]
 async fn equal_responses_are_served_to_one_client() {
     assert_equal_responses_are_served(1, DEADLINE, |_| false).await;
 }
 
-/// Equal responses are held as if they were copies, on several connections at once.
+/// The same on several connections at once.
 #[tokio::test]
 async fn equal_responses_are_served_to_busy_clients() {
     assert_equal_responses_are_served(CONCURRENT_CLIENTS, DEADLINE, |_| false).await;
 }
 
-/// Equal responses are held beyond short deadlines.
+/// Guards against holding equal responses beyond short deadlines.
 #[tokio::test]
 async fn equal_responses_are_served_within_short_deadlines() {
     for clients in [1, CONCURRENT_CLIENTS] {
@@ -507,7 +522,8 @@
     }
 }
 
-/// Equal responses are taken for copies where some of them are: what is dropped too much is missing as an answer.
+/// Guards against dropping equal responses as copies where some of them are copies: their requests get no
+/// answer.
 #[tokio::test]
 async fn equal_responses_some_of_them_copied_are_served() {
     for clients in [1, CONCURRENT_CLIENTS] {
@@ -515,13 +531,14 @@
     }
 }
 
-/// Declining responses, which are rightly equal, are held as if they were copies: a rejection comes too late to try again.
+/// Guards against holding declined responses, which are equal without being copies: the rejection reaches the
+/// client too late for a retry.
 #[tokio::test]
 async fn equal_rejections_do_not_exceed_the_queue_time() {
     const REJECTED_CALLS: usize = 100;
-    /// Beyond the time itself, in the mean, as for all limits on time ...
+    /// How far the mean may exceed the queue time, as for all time limits.
     const MEAN_SLACK: Duration = Duration::from_millis(50);
-    /// ... and for each: other tests run beside this one.
+    /// How far each request may exceed the queue time, since other tests run at the same time.
     const SLACK: Duration = Duration::from_millis(150);
     let deployment = Deployment { latency_objective: LATENCY_OBJECTIVE, ..Deployment::default() };
     let declining = |_, _: &str| Exchange::without_copy(response(503, "Srv-Declined: 1\r\n", ""));
@@ -550,7 +567,7 @@
     assert!(sum <= max_sum, "{sum:?} for {} requests", times.len());
 }
 
-/// A request whose response proper waits at the gate, behind the copy of the one before.
+/// A request whose response waits at the gate after the copy of the previous response.
 struct HeldRequest {
     fixture: Fixture,
     id: String,
@@ -558,7 +575,7 @@
 }
 
 impl HeldRequest {
-    /// With a proxy that has served one request, whose response took so long.
+    /// Sends the request through a proxy that has served one request before, within `response_time`.
     async fn new(deadline: Duration, response_time: Duration) -> Self {
         let fixture = Fixture::new(Deployment::default(), CopyDelivery::Whole, |count, id| Exchange {
             response: own_response(id),
@@ -583,14 +600,14 @@
         HeldRequest { fixture, id, client }
     }
 
-    /// What the client gets within some time, or up to the end of its connection.
+    /// Returns what the client receives within some time, or until the end of its connection.
     async fn received_within(&mut self, time: Duration) -> String {
         let mut received = Vec::new();
         let _ = timeout(time, self.client.read_to_end(&mut received)).await;
         String::from_utf8(received).expect("text")
     }
 
-    /// The proxy goes on, and the request has run once.
+    /// Checks that the proxy serves further requests, and that the held request has run once.
     async fn assert_others_are_served(&self) {
         let answers = self.fixture.call_sequentially("once", CALLS, Duration::ZERO).await;
         self.fixture.assert_own_responses(answers);
@@ -598,35 +615,37 @@
     }
 }
 
-/// A client that leaves while its response is held leaves a connection on which the next one gets what was held.
+/// Guards against a connection to the backend that is reused after a client has disconnected while its
+/// response was held: the next client on it would get that response.
 #[tokio::test]
 async fn response_held_at_a_disconnect_reaches_no_other_client() {
     let mut held = HeldRequest::new(DEADLINE, Duration::ZERO).await;
-    assert_eq!(held.received_within(RESPONSE_DELAY).await, "", "a copy was the answer");
+    assert_eq!(held.received_within(RESPONSE_DELAY).await, "", "a copy was passed on");
     held.client.shutdown().await.expect("open");
-    // The proxy closes the connection of a client that has gone.
-    // An end or a reset: nothing is left to read.
+    // The proxy closes the connection of a client that has disconnected, in order or with a reset; there is
+    // nothing left to read.
     let end = in_time(held.client.read_to_end(&mut Vec::new())).await;
     assert_eq!(end.unwrap_or_default(), 0);
     held.fixture.gate.open(1);
     held.assert_others_are_served().await;
 }
 
-/// A request whose response is held up to its deadline, since responses may take as long, is answered with the copy,
-/// twice, as rejected, or not at all.
+/// Guards against wrong answers at the deadline of a request whose response is held until then, since
+/// responses may take that long: the copy, two answers, a rejection, or none.
 #[tokio::test]
 async fn request_with_a_held_response_fails_at_its_deadline() {
     let mut held = HeldRequest::new(SHORT_DEADLINE, SHORT_DEADLINE / 4).await;
     let answer = held.received_within(SHORT_DEADLINE + MAX_LATENESS).await;
     assert!(answer.starts_with("HTTP/1.1 5"), "{answer}");
-    assert!(!answer.starts_with("HTTP/1.1 503"), "it may have run: {answer}");
+    assert!(!answer.starts_with("HTTP/1.1 503"), "a rejection although the request may have run: {answer}");
     held.fixture.gate.open(1);
     assert_eq!(held.received_within(RESPONSE_DELAY).await, "", "a second answer");
     assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
     held.assert_others_are_served().await;
 }
 
-/// A stop while a response is held ends the wait with the copy, or with none.
+/// Guards against a graceful shutdown that ends the wait for a held response with the copy or without an
+/// answer.
 #[tokio::test]
 async fn held_response_is_sent_during_a_graceful_shutdown() {
     let mut held = HeldRequest::new(DEADLINE, Duration::ZERO).await;
@@ -638,7 +657,8 @@
     assert_eq!(held.fixture.times_received(&held.id), 1);
 }
 
-/// Clients on one connection before a backend whose responses are long, and which begins to repeat them.
+/// Checks that one client gets its own responses of `length` bytes of padding from a backend that begins to
+/// send copies.
 async fn assert_first_copy_of_length_is_dropped(length: usize) {
     let padding = "x".repeat(length);
     let fixture = Fixture::new(Deployment::default(), CopyDelivery::Whole, move |count, id| Exchange {
@@ -649,25 +669,26 @@
     .await;
     let answers = fixture.call_sequentially("once", 3 + CALLS, RESPONSE_DELAY).await;
     let strip_padding = |(id, (status, body)): Answered| {
-        assert!(status != 200 || body.len() == id.len() + length, "it is broken");
+        assert!(status != 200 || body.len() == id.len() + length, "the body has the wrong length");
         (id, (status, body.trim_end_matches('x').to_string()))
     };
     fixture.assert_own_responses(answers.into_iter().map(strip_padding).collect());
 }
 
-/// Long responses are not remembered as a whole: their copies are not seen.
+/// Guards against passing on the copy of a response that is too long to be stored as a whole for the
+/// comparison.
 #[tokio::test]
 async fn first_copy_of_a_long_response_is_dropped() {
     assert_first_copy_of_length_is_dropped(20 * 1024).await;
 }
 
-/// As before, where responses are longer than what is buffered of them.
+/// The same for responses that are longer than the buffer, and therefore streamed.
 #[tokio::test]
 async fn first_copy_of_a_streamed_response_is_dropped() {
     assert_first_copy_of_length_is_dropped(100 * 1024).await;
 }
 
-/// As before, where only the last chunk says how long a response is.
+/// The same for chunked responses, whose length is known only with the last chunk.
 #[tokio::test]
 async fn first_copy_of_a_streamed_chunked_response_is_dropped() {
     const PADDING_BYTES: usize = 100 * 1024;
@@ -680,13 +701,14 @@
     .await;
     let mut answers = fixture.call_sequentially("once", 3 + CALLS, RESPONSE_DELAY).await;
     for (id, (_, body)) in &mut answers {
-        assert_eq!(body.len(), id.len() + PADDING_BYTES, "it is broken");
+        assert_eq!(body.len(), id.len() + PADDING_BYTES, "the body has the wrong length");
         body.truncate(id.len());
     }
     fixture.assert_own_responses(answers);
 }
 
-/// A connection that is not used again holds a place of its backend's.
+/// Guards against connections that stay open without being reused, and count against the limit of their
+/// backend.
 #[tokio::test]
 async fn connection_closes_after_a_response_too_long_to_compare() {
     let backend = RawBackend::start().await;
@@ -702,7 +724,7 @@
     assert_eq!(connection.read_to_close().await, b"");
 }
 
-/// Long responses of which all can be compared need no other connections.
+/// Guards against closing a connection after a long response that can be compared as a whole.
 #[tokio::test]
 async fn comparable_streamed_responses_share_one_connection() {
     let padding = "x".repeat(70 * 1024);
@@ -721,11 +743,12 @@
     assert_eq!(connections.load(SeqCst), 1);
 }
 
-/// A backend that gave some errors to different requests is one that gives anything to different requests.
+/// Guards against concluding that a backend sends equal responses to different requests because it sent the
+/// same errors to different requests.
 #[tokio::test]
 async fn first_copy_after_different_errors_is_dropped() {
     const ERRORS: usize = 4;
-    /// An error, another response, the same error on another connection, and another response.
+    /// An error, a distinct response, the same error on another connection, and a distinct response.
     const CALLS_PER_ERROR: usize = 4;
     const CALLS_WITHOUT_COPIES: usize = ERRORS * CALLS_PER_ERROR;
     let received = AtomicUsize::new(0);
@@ -750,7 +773,7 @@
     fixture.assert_own_responses(answers.split_off(CALLS_WITHOUT_COPIES));
 }
 
-/// A proxy before one backend that follows a script.
+/// Starts a backend that follows a script, and a proxy in front of it.
 async fn start_scripted(
     script: impl Fn(usize, &str) -> Vec<Step> + Send + Sync + 'static,
 ) -> (ScriptedBackend, Discovery, Proxy) {
@@ -760,7 +783,8 @@
     (backend, discovery, proxy)
 }
 
-/// The first bytes of a copy in one read with its response are taken for a rest of its body: the response is lost.
+/// Guards against losing a response that is read together with the first bytes of its copy, which are taken
+/// for the rest of its body.
 #[tokio::test]
 async fn response_followed_by_a_partial_copy_is_served() {
     let mut lost = Vec::new();
@@ -780,7 +804,8 @@
     assert!(lost.is_empty(), "{lost:?}");
 }
 
-/// Equal responses that come in pieces have their connection rest each time: others are made in its place.
+/// Guards against opening a connection for each equal response in two writes, because the previous connection
+/// is not reused for a while after such a response.
 #[tokio::test]
 async fn equal_responses_in_two_writes_need_few_connections() {
     const MAX_CONNECTIONS: usize = 5;
@@ -802,10 +827,10 @@
     assert!(connections <= MAX_CONNECTIONS, "{connections}");
 }
 
-/// An error behind a copy is held until the copy would have been passed on.
+/// Guards against holding an error after a copy for as long as the copy itself would have been held.
 #[tokio::test]
 async fn equal_error_after_a_copy_is_held_only_briefly() {
-    /// An error is held for half a second at the most.
+    /// An error is held for at most half a second.
     const MAX_TIME: Duration = Duration::from_secs(1);
     let (first, error) = (response(200, "", "first"), response(500, "", ""));
     let (_backend, _discovery, proxy) = start_scripted(move |count, _| match count {
@@ -819,22 +844,23 @@
         let (_, answer) = client.call_with_id(request_with_deadline("once", DEADLINE)).await;
         assert_eq!(answer.0 == 200, status == 200);
     }
-    // Behind an error the connection rests.
+    // After an error, the connection is not reused for a while.
     sleep(3 * RESPONSE_DELAY).await;
     let started_at = Instant::now();
     let (_, (status, _)) = client.call_with_id(request_with_deadline("once", DEADLINE)).await;
-    assert_ne!(status, 200, "a copy is the answer");
+    assert_ne!(status, 200, "the copy was passed on");
     assert!(started_at.elapsed() < MAX_TIME, "{:?}", started_at.elapsed());
 }
 
-/// What comes while a request is still being written is held up to a time that counts from when it came.
+/// Guards against passing on a copy that is received while its request is still being written, because the
+/// longest hold time counts from when the copy was received.
 #[tokio::test]
 async fn copy_received_long_before_the_request_ends_is_dropped() {
     const BODY_BYTES: usize = 100_000;
-    /// More than is buffered: from then on the request is written to its backend.
+    /// More than the proxy buffers, so that it begins to stream the request to the backend.
     const FIRST_BYTES: usize = 70_000;
     const PIECES: usize = 50;
-    /// Longer than anything is held.
+    /// Longer than any response is held.
     const UPLOAD_TIME: Duration = Duration::from_secs(3);
     let (first, other) = (response(200, "", "first"), response(200, "", "other"));
     let (_backend, _discovery, proxy) = start_scripted(move |count, _| match count {
@@ -843,7 +869,7 @@
             Step::Write(first.clone()),
             Step::Pause(UPLOAD_TIME + RESPONSE_DELAY),
             Step::Write(other.clone()),
-            // What is left of the request is not read.
+            // The rest of the request is not read.
             Step::Pause(RESPONSE_DELAY),
             Step::Close,
         ],
@@ -860,7 +886,7 @@
         client.write_all(&[b'x'; (BODY_BYTES - FIRST_BYTES) / PIECES]).await.expect("open");
         let early = timeout(UPLOAD_TIME / PIECES as u32, client.read_buf(&mut received)).await;
         let received = String::from_utf8_lossy(&received);
-        assert!(early.is_err(), "an answer before the response proper: {received}");
+        assert!(early.is_err(), "an answer before the response: {received}");
     }
     while ![b"first", b"other"].iter().any(|body| received.ends_with(*body)) {
         assert_ne!(in_time(client.read_buf(&mut received)).await.expect("an answer"), 0);
--- a/crates/proxy/tests/response_copies.rs
+++ b/crates/proxy/tests/response_copies.rs
@@ -1,4 +1,5 @@
-//! Backends that send a response again some milliseconds later: no client gets the answer of another's request.
+//! Backends that send a copy of a response some milliseconds later: no client gets the response to another
+//! request.
 
 mod support;
 
@@ -8,16 +9,17 @@
 use support::*;
 use tokio::time::sleep;
 
-/// A repeat comes so long after its response.
+/// The time from a response to its copy.
 const COPY_DELAY: Duration = Duration::from_millis(3);
 
-/// A request whose backend declined it waits no longer than this for another try, in milliseconds.
+/// The longest time that a request waits for another attempt after its backend has declined it.
 const MAX_QUEUE_TIME_MS: f64 = 200.0;
-/// Hundreds of requests in a row take no longer than this where none is held until its deadline of 60 s.
+/// The longest time of hundreds of requests in sequence if none of them is held until its deadline of 60 s.
 const MAX_EQUAL_RESPONSES_TIME: Duration = Duration::from_secs(10);
-/// Busy clients at once.
+/// The number of clients that send requests at the same time.
 const CONCURRENT_CLIENTS: usize = 5;
-/// Most answers of others that they get: one on each connection that a backend has before it is known.
+/// The highest number of wrong responses that they get: one on each connection that a backend has before it
+/// is known to send copies.
 const MAX_DELIVERED_COPIES: usize = 2 * CONCURRENT_CLIENTS;
 
 #[tokio::test]
@@ -26,23 +28,23 @@
     let discovery = Discovery::start(vec![line("a", backend.addr, "SERVING")]).await;
     let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
     let mut client = proxy.client().await;
-    // Given: a repeat that came while its connection was idle.
+    // Given: a copy that was received while its connection was idle.
     assert_eq!(client.call("look").await.0, 200);
     sleep(20 * COPY_DELAY).await;
     // When: requests follow each other without a pause.
     for _ in 0..200 {
         let (id, answer) = client.call_with_id(request("look")).await;
-        // Then: each gets its own answer.
+        // Then: each request gets its own response.
         assert_eq!(answer, (200, id));
     }
 }
 
-/// Something, and again after the delay of a repeat.
+/// Returns steps that write bytes, and write them again after the delay of a copy.
 fn write_twice(bytes: &[u8]) -> Vec<Step> {
     vec![Step::Write(bytes.to_vec()), Step::Pause(COPY_DELAY), Step::Write(bytes.to_vec())]
 }
 
-/// A proxy before one backend, which repeats the response to its first request while nothing else is open.
+/// Starts a proxy in front of a backend, which sends the copy of its first response while no request is open.
 async fn start_proxy_that_saw_a_copy(backend: &ScriptedBackend) -> (Discovery, Proxy) {
     let discovery = Discovery::start(vec![line("a", backend.addr, "SERVING")]).await;
     let mut settings = settings();
@@ -55,8 +57,8 @@
     (discovery, proxy)
 }
 
-/// The answers to requests in a row before a backend whose first response on a connection comes twice, and the others as
-/// the script says.
+/// Returns the answers to requests in sequence to a backend whose first response on a connection has a copy,
+/// and whose other responses follow the script.
 async fn answers_with_script(
     script: impl Fn(usize, &str) -> Vec<Step> + Send + Sync + 'static,
 ) -> Vec<Answered> {
@@ -71,14 +73,14 @@
     call_in_a_row(&proxy, "look", 50).await
 }
 
-/// Each request is served with its own answer.
+/// Checks that each request is served with its own response.
 async fn assert_own_responses(script: impl Fn(usize, &str) -> Vec<Step> + Send + Sync + 'static) {
     for (id, answer) in answers_with_script(script).await {
         assert_eq!(answer, (200, id));
     }
 }
 
-/// A copy comes in pieces, with a pause between them.
+/// Guards against passing on a copy that is received in pieces, with a pause between them.
 #[tokio::test]
 async fn copy_in_two_writes_is_dropped() {
     assert_own_responses(|_, id| {
@@ -91,13 +93,14 @@
     .await;
 }
 
-/// A copy comes in one piece with its response.
+/// Guards against passing on a copy that is received together with its response.
 #[tokio::test]
 async fn copy_coalesced_with_its_response_is_dropped() {
     assert_own_responses(|_, id| vec![Step::Write(own_response(id).repeat(2))]).await;
 }
 
-/// As [`assert_own_responses`], but a request may end with an error: a backend that breaks its responses off is ejected.
+/// Checks that each request is served with its own response or fails: a backend that sends truncated
+/// responses is ejected.
 async fn assert_own_responses_or_errors(script: impl Fn(usize, &str) -> Vec<Step> + Send + Sync + 'static) {
     let answers = answers_with_script(script).await;
     assert_eq!(answers[0], (answers[0].0.clone(), (200, answers[0].0.clone())));
@@ -106,7 +109,8 @@
     }
 }
 
-/// A copy breaks off in its head or in its body, and what comes next stands right behind it.
+/// Guards against taking the response that directly follows a copy truncated in its head or body for the rest
+/// of the copy.
 #[tokio::test]
 async fn truncated_copy_is_dropped() {
     for length in [5, 30, 45] {
@@ -118,7 +122,7 @@
     }
 }
 
-/// A copy breaks off with its connection.
+/// Guards against passing on a copy that the close of its connection truncates.
 #[tokio::test]
 async fn copy_cut_off_by_a_close_is_dropped() {
     assert_own_responses_or_errors(|_, id| {
@@ -129,7 +133,7 @@
     .await;
 }
 
-/// Copies of bodies in chunks.
+/// Guards against passing on copies of chunked responses.
 #[tokio::test]
 async fn chunked_copy_is_dropped() {
     assert_own_responses(|_, id| {
@@ -139,7 +143,8 @@
     .await;
 }
 
-/// Copies of responses behind an interim one, with and without it.
+/// Guards against passing on copies of responses that follow an interim response, with and without the
+/// interim response.
 #[tokio::test]
 async fn copy_after_an_interim_response_is_dropped() {
     let interim = b"HTTP/1.1 100 Continue\r\n\r\n";
@@ -152,7 +157,7 @@
     .await;
 }
 
-/// Copies of responses that are too long to be remembered, buffered and streamed ones.
+/// Guards against passing on copies of responses, buffered and streamed ones, that are too long to be stored.
 #[tokio::test]
 async fn copy_of_a_long_response_is_dropped() {
     for length in [20_000, 100_000] {
@@ -167,7 +172,8 @@
     }
 }
 
-/// Errors come twice as well: an error's copy is no word on the next request, which would be sent again though it runs.
+/// Guards against taking the copy of an error for the response to the next request, which would be retried
+/// although it runs.
 #[tokio::test]
 async fn copy_of_an_error_does_not_answer_the_next_request() {
     for (status, headers) in [(503, "Srv-Declined: 1\r\n"), (500, "")] {
@@ -191,7 +197,8 @@
     }
 }
 
-/// All responses of a backend are equal, and rightly so.
+/// Checks that equal responses of a backend are served promptly; those that `has_copy` selects have a copy in
+/// addition.
 async fn assert_equal_responses_are_served(has_copy: impl Fn(usize) -> bool + Send + Sync + 'static) {
     let backend = ScriptedBackend::start(move |count, _| {
         let equal = response(200, "", "equal");
@@ -204,7 +211,7 @@
         assert_eq!(answer, (200, "equal".to_string()));
         assert_eq!(backend.received.lock().expect("no panic")[&id], 1);
     }
-    assert!(started_at.elapsed() < MAX_EQUAL_RESPONSES_TIME, "requests were held");
+    assert!(started_at.elapsed() < MAX_EQUAL_RESPONSES_TIME, "responses were held");
 }
 
 #[tokio::test]
@@ -217,7 +224,7 @@
     assert_equal_responses_are_served(|_| true).await;
 }
 
-/// Two responses in a row are equal now and then, and rightly so: they are held for a moment at the most.
+/// Guards against holding consecutive responses for long that are equal now and then without being copies.
 #[tokio::test]
 async fn rare_equal_responses_without_copies_are_served() {
     const CALLS: usize = 200;
@@ -232,10 +239,11 @@
         assert_eq!(status, 200);
         assert!(body == id || body == "equal");
     }
-    assert!(started_at.elapsed() < MAX_EQUAL_RESPONSES_TIME, "requests were held");
+    assert!(started_at.elapsed() < MAX_EQUAL_RESPONSES_TIME, "responses were held");
 }
 
-/// A backend that repeats is known by the first connection on which it is seen, however busy its connections are.
+/// Guards against detecting a backend that sends copies on each connection anew: it is known from the first
+/// copy on, however busy its connections are.
 #[tokio::test]
 async fn few_copies_are_delivered_before_the_first_is_detected() {
     let mut backends = Vec::new();
@@ -253,5 +261,5 @@
         assert_eq!(status, 200);
         wrong += usize::from(body != id);
     }
-    assert!(wrong <= MAX_DELIVERED_COPIES, "{wrong} of 1500");
+    assert!(wrong <= MAX_DELIVERED_COPIES, "{wrong} of 1500 responses were wrong");
 }
