--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! The started program on loopback sockets: what clients get, and what backends see of it.
+//! End-to-end tests of the proxy on loopback sockets: the responses to clients and the requests to backends.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Two backends with common orders, discovery that lists them, and a proxy that holds the list.
+/// A proxy with two backends that share a script, and the discovery service that lists them.
 struct Fixture {
     script: Arc<BackendScript>,
     a: Backend,
@@ -28,7 +28,7 @@
     Fixture { script, a, b, discovery, proxy }
 }
 
-/// Settings with `cap` set to `value`.
+/// Returns the default settings with `cap` set to `value`.
 fn with_cap(cap: &str, value: serde_json::Value) -> serde_json::Value {
     let mut settings = settings();
     settings["caps"][cap] = value;
@@ -44,7 +44,7 @@
     let (status, answer) = fixture.proxy.client().await.send(call).await;
     assert_eq!(status, 200);
     let seen = fixture.script.seen.borrow();
-    let [(name, head, body_received)] = &seen[..] else { panic!("it runs once") };
+    let [(name, head, body_received)] = &seen[..] else { panic!("the request runs once") };
     assert_eq!((answer.as_str(), body_received), (*name, &body.into()));
     assert_eq!((head.method.as_str(), head.uri.to_string().as_str()), ("POST", "/keep?k=7f3a"));
     assert_eq!(
@@ -52,7 +52,7 @@
         (&id, &"5c0f6e1a".parse().unwrap())
     );
     let left: u64 = head.headers["req-deadline-ms"].to_str().expect("text").parse().expect("a number");
-    assert!((1..60_000).contains(&left), "{left} ms are left");
+    assert!((1..60_000).contains(&left), "a remaining deadline of {left} ms");
 }
 
 #[tokio::test]
@@ -65,7 +65,9 @@
     }
 }
 
-/// An unsafe request that may have run is neither sent again nor refused; a safe one is sent again.
+/// Guards against running a request twice that is neither retryable nor deduplicated: it may have run, so it
+/// is neither retried nor answered with a 503, which would invite the client to retry. Requests that are safe
+/// to run again are retried.
 #[tokio::test]
 async fn possibly_executed_request_is_retried_only_if_safe() {
     for behavior in [
@@ -89,8 +91,9 @@
     }
 }
 
-/// `b` declines first, so that the next attempt must go to the other, which can't be reached; after that `b`
-/// serves. Only an ending that proves that nothing ran lets an unsafe request come that far.
+/// Checks that a request is retried after an attempt at an unreachable address. `b` declines the first
+/// attempt, so that the next one goes to the unreachable backend, and serves the third. A request that must
+/// not run twice gets that far only if each failure proves that nothing ran.
 async fn assert_retried_on_another_backend(addr: std::net::SocketAddr) {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
@@ -122,7 +125,8 @@
     }
     let connections = || fixture.a.total() + fixture.b.total();
     assert!(connections() <= 2, "{} connections", connections());
-    // The backends' idle close must not become a reset, which would fail an unsafe request.
+    // A request on a connection that its backend closes while idle would meet a reset, and an unsafe one
+    // would fail.
     fixture.a.close_idle().await;
     fixture.b.close_idle().await;
     for _ in 0..20 {
@@ -134,7 +138,7 @@
 async fn idle_connections_are_closed_by_the_proxy() {
     let fixture = start_fixture(with_cap("connIdle", 3000.0.into())).await;
     assert_eq!(fixture.proxy.call("look").await.0, 200);
-    // The backends close nothing by themselves.
+    // The backends never close a connection by themselves.
     fixture.a.all_closed().await;
     fixture.b.all_closed().await;
     assert_eq!(fixture.proxy.call("once").await.0, 200);
@@ -154,7 +158,8 @@
     assert_eq!(fixture.proxy.call("once").await.0, 200);
 }
 
-/// The connections that a burst leaves behind grow old only if calls keep to the ones used last.
+/// Guards against a pool that uses its connections in turn: those that a burst left over become idle only if
+/// requests prefer the most recently used connection.
 #[tokio::test]
 async fn surplus_connections_become_idle_and_are_closed() {
     let script = Arc::new(BackendScript::default());
@@ -182,7 +187,7 @@
         }
     })
     .await;
-    assert_eq!(a.total(), 2, "one of the two was used all the time");
+    assert_eq!(a.total(), 2, "the requests used the open connections");
 }
 
 #[tokio::test]
@@ -202,7 +207,7 @@
     }
     release.notify_one();
     assert_eq!(held_call.await.expect("no panic"), (200, busy_name.into()));
-    // Its connection is not kept either: nothing will go over it.
+    // The connection to the draining backend is closed as well, since no request will use it.
     draining.all_closed().await;
     fixture.discovery.publish(vec![draining.line("SERVING"), other.line("DRAINING")]).await;
     assert_eq!(fixture.proxy.call("look").await, (200, draining.name.into()));
@@ -222,21 +227,23 @@
     discovery.publish(vec![line("a", addr, "DRAINING"), b.line("SERVING")]).await;
     let drain_published_at = Instant::now();
     tokio::time::sleep(Duration::from_millis(600)).await;
-    // Only now does the queue get room, and the connection comes up when the system next tries.
+    // The accept queue has room only from here on; the connect succeeds at the next retransmission of its
+    // SYN.
     for _ in &queue_fillers {
-        drop(in_time(listener.accept()).await.expect("queued"));
+        drop(in_time(listener.accept()).await.expect("a queued connection"));
     }
-    let (mut late_connection, _) = in_time(listener.accept()).await.expect("the proxy's");
+    let (mut late_connection, _) = in_time(listener.accept()).await.expect("the proxy's connection");
     assert!(drain_published_at.elapsed() > Duration::from_millis(500));
     assert_eq!(
         in_time(late_connection.read(&mut [0; 64])).await.expect("closed"),
         0,
-        "something was sent after the grace"
+        "the proxy sent bytes after the grace period"
     );
     assert_eq!(in_time(call).await.expect("no panic"), (200, "b".into()));
 }
 
-/// So many attempts' connections are closed: that is seen long before so many other calls are served.
+/// Checks that the connections of `attempts` attempts have been closed by the time that 100 further requests
+/// are served.
 async fn assert_cancelled_soon(fixture: &Fixture, attempts: usize) {
     for _ in 0..100 {
         assert_eq!(fixture.proxy.call("look").await.0, 200);
@@ -244,7 +251,8 @@
     assert_eq!(*fixture.script.left.borrow(), attempts);
 }
 
-/// Backends learn from the close of its connection that an attempt is given up, and stop its work.
+/// Guards against attempts that go on for a client that has disconnected. The close of its connection tells a
+/// backend to stop the work for an attempt.
 #[tokio::test]
 async fn client_disconnect_cancels_its_attempt() {
     for may_duplicate in [false, true] {
@@ -258,7 +266,7 @@
     }
 }
 
-/// Settings under which a request past the limit is soon refused.
+/// Returns settings under which a request beyond the concurrency limit is rejected after a short time.
 fn with_short_queue_wait() -> serde_json::Value {
     let mut settings = settings();
     for class in settings["classes"].as_array_mut().expect("a list") {
@@ -267,8 +275,9 @@
     settings
 }
 
-/// Calls that their backends hold, as many as the limit takes: the first past it is refused. With what releases
-/// each; the last is for the refused one's, which the next call gets.
+/// Sends requests, which their backends hold, until the first one beyond the concurrency limit is rejected.
+/// Returns the clients of the held requests, and a release for each request. The last release belongs to the
+/// script entry of the rejected request, which the next request takes.
 async fn fill_concurrency_limit(
     fixture: &Fixture,
     deadline_header: &str,
@@ -278,7 +287,7 @@
         let release = Arc::new(Notify::new());
         fixture.script.give([BackendBehavior::Hold(release.clone())]);
         releases.push(release);
-        let mut client = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
+        let mut client = TcpStream::connect(fixture.proxy.addr).await.expect("the proxy listens");
         let call = raw_request("GET /look", &clients.len().to_string(), deadline_header);
         client.write_all(call.as_bytes()).await.expect("open");
         tokio::select! {
@@ -290,16 +299,17 @@
     (clients, releases)
 }
 
-/// Once its connection is closed the proxy knows that a client left.
+/// Disconnects a client and waits until the proxy has noticed, which it shows by closing the connection.
 async fn disconnect(mut client: TcpStream) {
     client.shutdown().await.expect("open");
     in_time(client.read_to_end(&mut Vec::new())).await.expect("a close");
 }
 
-/// All that `fill_concurrency_limit` sent has ended at the backends, which release nothing by themselves, and its slots are free.
+/// Checks that the requests of `fill_concurrency_limit` have ended at the backends, which release nothing by
+/// themselves, and that their slots are free.
 async fn assert_all_cancelled(fixture: &Fixture, calls: usize, releases: &[Arc<Notify>]) {
-    // The last release is for the call that `fill_concurrency_limit` had refused: the next one gets it.
-    releases.last().expect("one a call").notify_one();
+    // The next request takes the script entry of the request that was rejected by `fill_concurrency_limit`.
+    releases.last().expect("one release per request").notify_one();
     assert_cancelled_soon(fixture, calls).await;
 }
 
@@ -320,7 +330,7 @@
     let (clients, releases) = fill_concurrency_limit(&fixture, "Req-Deadline-Ms: 1500").await;
     let calls = clients.len();
     for mut client in clients {
-        // What is safe is refused when its time is up: to ask again is harmless.
+        // A retryable request is rejected at its deadline, since it may be sent again.
         let mut answer = Vec::new();
         assert_ne!(in_time(client.read_buf(&mut answer)).await.expect("open"), 0);
         assert!(answer.starts_with(b"HTTP/1.1 503"), "{}", String::from_utf8_lossy(&answer));
@@ -328,8 +338,10 @@
     assert_all_cancelled(&fixture, calls, &releases).await;
 }
 
-/// A tenant may have two requests in its share; `fill_concurrency_limit` has one beyond that refused. When the client of one of the two
-/// leaves, the next is inside the share and goes through past the limit.
+/// Guards against a quota that still counts the requests of disconnected clients. The tenant may have two
+/// requests within its quota, and `fill_concurrency_limit` sends one beyond it, which is rejected. Once the
+/// client of one of the two has disconnected, the next request is within the quota and is served although the
+/// limit is reached.
 #[tokio::test]
 async fn client_disconnect_frees_its_quota_share() {
     let mut limited_quota = with_short_queue_wait();
@@ -337,7 +349,7 @@
     let fixture = start_fixture(limited_quota).await;
     let (mut clients, releases) = fill_concurrency_limit(&fixture, "Req-Deadline-Ms: 60000").await;
     disconnect(clients.remove(0)).await;
-    releases.last().expect("one a call").notify_one();
+    releases.last().expect("one release per request").notify_one();
     assert_eq!(fixture.proxy.call("look").await.0, 200);
 }
 
@@ -350,9 +362,12 @@
     parts.headers.insert("req-deadline-ms", "700".parse().expect("a value"));
     let start = Instant::now();
     let (status, _) = fixture.proxy.client().await.send(hyper::Request::from_parts(parts, body)).await;
-    assert!((500..600).contains(&status) && status != 503, "{status} promises nothing");
-    assert!(start.elapsed() >= Duration::from_millis(500), "it was given the time that it had");
-    // Nobody waits for the answer any more: the backend is told by the close.
+    assert!(
+        (500..600).contains(&status) && status != 503,
+        "{status}: only 503 states that the request did not run"
+    );
+    assert!(start.elapsed() >= Duration::from_millis(500), "the request failed too early");
+    // No client waits for the response any more; the close of the connection tells the backend.
     assert_cancelled_soon(&fixture, 1).await;
 }
 
@@ -365,9 +380,9 @@
     let held = tokio::spawn(async move { busy.call("once").await });
     fixture.script.wait_for_requests(1).await;
     fixture.proxy.terminate().await;
-    assert_eq!(idle.call("look").await.0, 200, "connections at rest go on being used");
+    assert_eq!(idle.call("look").await.0, 200, "idle connections stay usable");
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(fixture.proxy.call("look").await.0, 200, "new ones are taken for a while");
+    assert_eq!(fixture.proxy.call("look").await.0, 200, "new connections are accepted for a while");
     in_time(async {
         while idle.0.ready().await.is_ok() && TcpStream::connect(fixture.proxy.addr).await.is_ok() {}
     })
@@ -377,7 +392,8 @@
     assert_eq!(fixture.proxy.ended().await.code(), Some(0));
 }
 
-/// Others may be down too: clients keep the connections that they have while a request can still be in time.
+/// Guards against closing client connections together with the listener. Other instances may be down too, so
+/// clients keep their connections for as long as a request can still be answered in time.
 #[tokio::test]
 async fn open_connections_outlast_the_listener_on_shutdown() {
     let mut settings = settings();
@@ -403,14 +419,15 @@
     fixture.script.wait_for_requests(1).await;
     fixture.proxy.terminate().await;
     let (status, _) = held.await.expect("no panic");
-    assert_eq!(status, 504, "it may have run");
+    assert_eq!(status, 504, "the request may have run");
     assert_eq!(fixture.proxy.ended().await.code(), Some(0));
 }
 
 #[tokio::test]
 async fn reload_switches_to_another_discovery_address() {
     let mut fixture = start_fixture(settings()).await;
-    // The other discovery's version is lower than the one held: carried across, it would wait for ever.
+    // The list version of the other discovery service is lower than the current one. A watch that asked it
+    // for changes after the current version would wait forever.
     fixture.discovery.publish(vec![fixture.a.line("SERVING")]).await;
     let other = Discovery::start(vec![fixture.b.line("SERVING")]).await;
     fixture.proxy.reload("{", "configuration rejected").await;
@@ -430,13 +447,13 @@
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.line("SERVING")]).await;
-    // The system allows far fewer than the configuration says.
+    // The descriptor limit of the system is far below the configured one.
     let config = discovery.config(settings());
     let proxy = Proxy::start_as(&config, "ulimit -n 24; exec \"$0\"").await;
     discovery.wait_until_applied().await;
     let mut crowd = Vec::new();
     for _ in 0..60 {
-        crowd.push(TcpStream::connect(proxy.addr).await.expect("the system's queue takes it"));
+        crowd.push(TcpStream::connect(proxy.addr).await.expect("the system queues the connection"));
     }
     drop(crowd);
     for _ in 0..20 {
@@ -453,25 +470,27 @@
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
-    // Some have made a call and rest, some have never said a word; there is room for 40 at the most.
+    // Given: idle clients that have sent a request and clients that have sent nothing. There is room for at
+    // most 40.
     let (mut idle, mut silent) = (Vec::new(), Vec::new());
     for _ in 0..30 {
         let mut client = proxy.client().await;
         assert_eq!(client.call("look").await.0, 200);
         idle.push(client);
-        silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
-        silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
+        silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system queues the connection"));
+        silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system queues the connection"));
     }
-    // Hundreds more that say nothing cost those who are served neither their places nor time.
+    // When: hundreds of silent clients connect. Then: the served clients lose neither their connections nor
+    // time.
     let mut active = proxy.client().await;
     assert_eq!(active.call("look").await.0, 200);
     let started_at = Instant::now();
     for _ in 0..200 {
-        silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system takes it"));
+        silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system queues the connection"));
     }
-    assert_eq!(active.call("look").await.0, 200, "it was served before and keeps its place");
+    assert_eq!(active.call("look").await.0, 200, "a client that was served before keeps its connection");
     assert_eq!(proxy.call("look").await.0, 200);
-    assert!(started_at.elapsed() < Duration::from_secs(2), "nobody waited for a time limit");
+    assert!(started_at.elapsed() < Duration::from_secs(2), "no request waited for a time limit");
 }
 
 #[tokio::test]
@@ -479,7 +498,7 @@
     let fixture = start_fixture(settings()).await;
     let without = |class: &str, name: &str| {
         let mut call = request(class).body(Full::<bytes::Bytes>::default()).expect("well formed");
-        call.headers_mut().remove(name).expect("it was there");
+        call.headers_mut().remove(name).expect("the header is set");
         call
     };
     for (class, header) in
@@ -507,12 +526,12 @@
     assert_eq!(fixture.script.seen.borrow().len(), 0);
 }
 
-/// Sends bytes as they are, and reads what comes until the proxy closes the connection.
+/// Sends raw bytes, and returns all that is received until the proxy closes the connection.
 async fn send_raw(addr: std::net::SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = in_time(TcpStream::connect(addr)).await.expect("it listens");
-    stream.write_all(bytes).await.expect("taken");
+    let mut stream = in_time(TcpStream::connect(addr)).await.expect("the proxy listens");
+    stream.write_all(bytes).await.expect("the connection is open");
     let mut answer = Vec::new();
-    in_time(stream.read_to_end(&mut answer)).await.expect("a close in good order");
+    in_time(stream.read_to_end(&mut answer)).await.expect("an orderly close");
     String::from_utf8(answer).expect("text")
 }
 
@@ -548,7 +567,7 @@
         let statuses: Vec<_> = answer.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
         assert_eq!(statuses, [status], "{headers}");
     }
-    assert_eq!(fixture.script.seen.borrow().len(), 0, "nothing went on");
+    assert_eq!(fixture.script.seen.borrow().len(), 0, "no request was forwarded");
 }
 
 #[tokio::test]
@@ -562,13 +581,13 @@
         send_raw(fixture.proxy.addr, head.as_bytes()),
         send_raw(fixture.proxy.addr, body.as_bytes())
     );
-    assert!(start.elapsed() < Duration::from_secs(20), "well before any other limit");
-    // What may still come of a request has its answer.
+    assert!(start.elapsed() < Duration::from_secs(20), "another time limit ended the wait");
+    // A request that may still arrive in full on such a connection has its answer already.
     assert_eq!((silent.as_str(), head.as_str()), (REJECTED_FIRST_REQUEST, REJECTED_FIRST_REQUEST));
     assert!(body.starts_with("HTTP/1.1 408 "), "{body}");
     let endless = format!("GET /look HTTP/1.1\r\nX-Pad: {}", "p".repeat(200_000));
-    let mut stream = in_time(TcpStream::connect(fixture.proxy.addr)).await.expect("it listens");
-    // It is closed while this is written.
+    let mut stream = in_time(TcpStream::connect(fixture.proxy.addr)).await.expect("the proxy listens");
+    // The proxy closes the connection during this write.
     let _ = stream.write_all(endless.as_bytes()).await;
     let _ = in_time(stream.read_to_end(&mut Vec::new())).await;
     assert_eq!(fixture.script.seen.borrow().len(), 0);
@@ -591,11 +610,11 @@
     assert_eq!(second_client.send(call()).await.0, 409);
     release.notify_one();
     assert_eq!(first.await.expect("no panic").0, 200);
-    assert_eq!(fixture.script.seen.borrow().len(), 1, "the second touched nothing");
-    assert_eq!(second_client.send(call()).await.0, 200, "once it is closed the id is free");
+    assert_eq!(fixture.script.seen.borrow().len(), 1, "the duplicate request was not forwarded");
+    assert_eq!(second_client.send(call()).await.0, 200, "the id is free once its request is answered");
 }
 
-/// Another backend would turn it down as well, and it is not this one's fault.
+/// Other backends would reject the request as well, and the failure does not count against this one.
 #[tokio::test]
 async fn request_a_backend_calls_malformed_is_not_retried() {
     let fixture = start_fixture(settings()).await;
@@ -607,7 +626,8 @@
     }
 }
 
-/// A request that waits behind another on its connection has its time from when it came.
+/// Guards against a deadline that starts when a request is taken from its connection: a request that is
+/// pipelined behind another has its deadline from its arrival.
 #[tokio::test]
 async fn deadline_of_a_pipelined_request_counts_from_arrival() {
     let fixture = start_fixture(settings()).await;
@@ -624,10 +644,10 @@
     let answers = answers.await.expect("no panic");
     let statuses: Vec<_> = answers.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
     assert_eq!(statuses, ["200", "503"]);
-    assert_eq!(fixture.script.seen.borrow().len(), 1, "its time was up before its turn");
+    assert_eq!(fixture.script.seen.borrow().len(), 1, "the deadline passed before the request was read");
 }
 
-/// Bodies held in all are bounded by the memory that the configuration tells; what is past that is refused.
+/// The total size of buffered bodies is bounded by the configured memory; requests beyond it are rejected.
 #[tokio::test]
 async fn buffered_bodies_stay_within_the_memory_limit() {
     let script = Arc::new(BackendScript::default());
@@ -637,14 +657,15 @@
     config["limits"]["memory_mb"] = 8.into();
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
-    // A quarter of it holds 32 such bodies. None of these ends; the first to pass the limit is told at once.
+    // A quarter of the memory holds 32 such bodies. None of them ends; the first one beyond the limit is
+    // rejected at once.
     let mut clients = Vec::new();
     for number in 0..40 {
         let text =
             raw_request("POST /once", &number.to_string(), "Req-Deadline-Ms: 60000|Content-Length: 65536");
-        let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("it listens");
-        stream.write_all(text.as_bytes()).await.expect("taken");
-        stream.write_all(&vec![b'x'; 65_535]).await.expect("taken");
+        let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("the proxy listens");
+        stream.write_all(text.as_bytes()).await.expect("the connection is open");
+        stream.write_all(&vec![b'x'; 65_535]).await.expect("the connection is open");
         clients.push(stream);
     }
     let mut rejected = 0;
@@ -653,11 +674,11 @@
         in_time(stream.read_exact(&mut answer)).await.expect("an answer");
         rejected += usize::from(&answer == b"HTTP/1.1 503");
     }
-    assert!((1..=8).contains(&rejected), "{rejected} were refused");
+    assert!((1..=8).contains(&rejected), "{rejected} were rejected");
     assert_eq!(proxy.call("look").await.0, 200);
 }
 
-/// One scripted backend, and a proxy that knows no other.
+/// Starts a scripted backend and a proxy that has no other.
 async fn start_scripted(
     bytes: impl Fn(usize) -> Option<[Vec<u8>; 2]> + Send + Sync + 'static,
 ) -> (Scripted, Proxy, Discovery) {
@@ -675,7 +696,7 @@
         head("Content-Length: 4\r\nContent-Length: 4\r\n", "good"),
         head("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "4\r\ngood\r\n0\r\n\r\n"),
         head("Content-Length: 3000000000\r\n", "it keeps coming"),
-        // Shorter than it says, and longer: what was left out lies behind it.
+        // A body shorter than its Content-Length, and one that is longer, with the rest behind the response.
         head("Content-Length: 10\r\n", "good"),
         head("Content-Length: 2\r\n", "good"),
         head("Transfer-Encoding: chunked\r\n", "4\r\ngood\r\nzz\r\n"),
@@ -689,15 +710,20 @@
         start_scripted(move |n| Some([answers.get(n)?.clone(), Vec::new()])).await;
     for n in 0..count {
         let start = Instant::now();
-        assert_eq!(proxy.call("once").await.0, 502, "spoilt answer {n} is neither served nor refused");
-        assert!(start.elapsed() < Duration::from_secs(4), "nothing is awaited on it");
+        assert_eq!(
+            proxy.call("once").await.0,
+            502,
+            "malformed response {n} is neither passed on nor answered with 503"
+        );
+        assert!(start.elapsed() < Duration::from_secs(4), "the proxy waited on the malformed response");
         in_time(backend.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
     }
     assert_eq!(proxy.call("once").await, (200, "good".into()));
-    assert_eq!(backend.requests.load(SeqCst), count + 1, "none was sent again");
+    assert_eq!(backend.requests.load(SeqCst), count + 1, "no request was retried");
 }
 
-/// What comes behind a good answer is not the next request's, be it there already or late.
+/// Guards against taking bytes that follow a complete response for the response to the next request, whether
+/// they are received with the response or later.
 #[tokio::test]
 async fn bytes_after_a_response_never_answer_the_next_request() {
     let answer = |body: &str| format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -717,7 +743,7 @@
     for n in 0..24 {
         assert_eq!(client.call("once").await, (200, format!("answer {n}")));
         if n % 4 != 3 {
-            // Such a connection is of no further use, once more came than belonged to the answer.
+            // A connection on which more than the response was received is closed.
             in_time(backend.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
         }
     }
@@ -731,12 +757,13 @@
     let discovery = Discovery::start(vec![line("old", a.addr, "SERVING")]).await;
     let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
     assert_eq!(proxy.call("once").await.0, 200);
-    // A new one at the address of one that has gone: it knows nothing of the connections of the other.
+    // When: a new backend replaces the old one at the same address. Then: it does not get the old
+    // connections.
     discovery.publish(vec![line("new", a.addr, "SERVING"), line("old", a.addr, "DRAINING")]).await;
     a.all_closed().await;
     assert_eq!(proxy.call("once").await.0, 200);
     assert_eq!((a.total(), *a.open.borrow()), (2, 1));
-    // And the old one's going takes nothing from it.
+    // When: the old backend leaves the list. Then: the new one keeps its connection.
     discovery.publish(vec![line("new", a.addr, "SERVING"), b.line("DRAINING")]).await;
     assert_eq!(proxy.call("once").await.0, 200);
     assert_eq!((a.total(), *a.open.borrow()), (2, 1));
@@ -749,8 +776,9 @@
     let malformed = serde_json::json!({"host": 5});
     let discovery = Discovery::start(vec![malformed.clone()]).await;
     let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
-    let ready_request =
-        || hyper::Request::get("/health/ready").header("host", "p").body(Full::default()).expect("good");
+    let ready_request = || {
+        hyper::Request::get("/health/ready").header("host", "p").body(Full::default()).expect("well formed")
+    };
     assert_eq!(proxy.client().await.send(ready_request()).await.0, 503);
     discovery.publish(vec![malformed, a.line("SERVING"), serde_json::json!("?")]).await;
     assert_eq!(proxy.client().await.send(ready_request()).await.0, 200);
@@ -777,14 +805,15 @@
             .env_remove("RELAY_DISCOVERY")
             .env("RELAY_CONFIG", write_config(&text))
             .output()
-            .expect("it starts");
+            .expect("the program starts");
         let log = String::from_utf8(program.stderr).expect("text");
         assert!(!program.status.success() && log.lines().count() == 1, "{log}");
         assert!(log.contains(expected), "{log}");
     }
 }
 
-/// Who is in the middle of a head has time for it, however many ask once and stay meanwhile.
+/// Guards against evicting a client in the middle of its head: it has time to finish, however many other
+/// clients send one request and stay connected meanwhile.
 #[tokio::test]
 async fn idle_clients_are_evicted_before_sending_ones() {
     let script = Arc::new(BackendScript::default());
@@ -796,7 +825,7 @@
     discovery.wait_until_applied().await;
     let (mut sending, mut idle) = (Vec::new(), Vec::new());
     for number in 0..4 {
-        let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("it listens");
+        let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("the proxy listens");
         let head =
             raw_request("GET /look", &format!("slow-{number}"), "Req-Deadline-Ms: 60000|Connection: close");
         let (first, last) = head.split_at(20);
@@ -811,7 +840,7 @@
     for (stream, last) in &mut sending {
         stream.write_all(last.as_bytes()).await.expect("open");
         let mut answer = String::new();
-        in_time(stream.read_to_string(&mut answer)).await.expect("it was not cut off");
+        in_time(stream.read_to_string(&mut answer)).await.expect("the connection was not reset");
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
     }
 }
