--- a/crates/proxy/tests/accept_queue_delay.rs
+++ b/crates/proxy/tests/accept_queue_delay.rs
@@ -1,5 +1,5 @@
-//! Connections that wait in the system's queue before the program accepts them: their requests' time runs meanwhile.
-//! The program is paused while they come.
+//! Connections that wait in the accept queue of the system: the deadlines of their requests run meanwhile.
+//! The proxy is paused while the clients connect.
 
 mod support;
 
@@ -10,15 +10,15 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until};
 
-/// How long a client waits for its answer.
+/// The time that a client waits for its answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// So long the connections wait.
+/// The time that the connections wait in the accept queue.
 const ACCEPT_QUEUE_TIME: Duration = Duration::from_millis(500);
-/// A backend may be told so much more than is left to the client.
+/// How far the deadline that a backend receives may exceed the time that is left to the client.
 const FORWARDED_DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// So many requests at once are surely let through by a limit that has learned nothing yet.
+/// A number of concurrent requests that is below the initial concurrency limit.
 const CONCURRENT_CLIENTS: usize = 7;
-/// More than is read at once, and less than is streamed.
+/// A body longer than one read, and short enough to be buffered as a whole.
 const LONG_BODY_BYTES: usize = 40_000;
 
 struct Fixture {
@@ -37,7 +37,7 @@
         Fixture { script, _backend: backend, _discovery: discovery, proxy }
     }
 
-    /// What the backend was told of the times that are left.
+    /// Returns the deadlines that the backend received.
     fn forwarded_deadlines(&self) -> Vec<Duration> {
         let parse_deadline = |head: &hyper::http::request::Parts| {
             let text = head.headers["req-deadline-ms"].to_str().expect("text");
@@ -47,7 +47,7 @@
     }
 }
 
-/// A request whose client waits so long, with a body of so many bytes.
+/// Returns the text of a request with the given client timeout and body length.
 fn request_text(client_timeout: Duration, number: usize, body_bytes: usize) -> String {
     let deadline = format!("Req-Deadline-Ms: {}", client_timeout.as_millis());
     let head = call("POST /once", &format!("{number:016x}")).replace("Req-Deadline-Ms: 60000", &deadline);
@@ -55,35 +55,36 @@
     head + &"x".repeat(body_bytes)
 }
 
-/// A client whose request has gone out completely.
+/// A client that has sent its whole request.
 struct WaitingClient {
     stream: TcpStream,
     sent_at: Instant,
 }
 
-/// Clients that connect and send at once while nobody accepts.
+/// Connects clients that send their requests at once while the proxy accepts no connection.
 async fn queued_clients(proxy: &Proxy, client_timeout: Duration, body_bytes: usize) -> Vec<WaitingClient> {
     let mut clients = Vec::new();
     for number in 0..CONCURRENT_CLIENTS {
         let mut stream = connected(proxy.addr).await;
         let text = request_text(client_timeout, number, body_bytes);
-        in_time(stream.write_all(text.as_bytes())).await.expect("the system takes it");
+        in_time(stream.write_all(text.as_bytes())).await.expect("the system buffers it");
         clients.push(WaitingClient { stream, sent_at: Instant::now() });
     }
     clients
 }
 
-/// Guards against backends that are told of time that has passed while the connection waited.
+/// Guards against forwarding a deadline that includes the time that the connection has waited for the accept.
 async fn assert_forwarded_deadline_excludes_queue_time(body_bytes: usize) {
     let fixture = Fixture::new().await;
-    // Given: complete requests on connections that nobody accepts.
+    // Given: complete requests on connections that are not accepted.
     fixture.proxy.pause().await;
     let mut clients = queued_clients(&fixture.proxy, CLIENT_TIMEOUT, body_bytes).await;
-    let last_sent_at = clients.iter().map(|client| client.sent_at).max().expect("there are some");
+    let last_sent_at = clients.iter().map(|client| client.sent_at).max().expect("at least one client");
     sleep_until(last_sent_at + ACCEPT_QUEUE_TIME).await;
-    // When: the program goes on.
+    // When: the proxy is resumed.
     fixture.proxy.resume_process().await;
-    // Then: each is served, and the backend was told of no more time than was left by then.
+    // Then: each is served, and the deadline that the backend received is no longer than the time that was
+    // left.
     for client in &mut clients {
         assert_eq!(status(&mut client.stream).await, Some(200));
     }
@@ -93,7 +94,7 @@
     for forwarded in forwarded {
         assert!(
             forwarded <= CLIENT_TIMEOUT - ACCEPT_QUEUE_TIME + FORWARDED_DEADLINE_SLACK,
-            "told {forwarded:?}"
+            "forwarded {forwarded:?}"
         );
     }
 }
@@ -108,40 +109,41 @@
     assert_forwarded_deadline_excludes_queue_time(LONG_BODY_BYTES).await;
 }
 
-/// Guards against counting from the connect: a request's time begins with its last byte.
+/// Guards against deadlines that count from the connect instead of the last byte of the request.
 #[tokio::test]
 async fn deadline_counts_from_the_last_byte_not_the_connect() {
     let fixture = Fixture::new().await;
-    // Given: a connection that nobody accepts, and half of a head on it.
+    // Given: a connection that is not accepted, with half of a head.
     fixture.proxy.pause().await;
     let text = request_text(CLIENT_TIMEOUT, 0, 0);
     let (first, rest) = text.split_at(text.len() / 2);
     let mut stream = connected(fixture.proxy.addr).await;
-    stream.write_all(first.as_bytes()).await.expect("the system takes it");
+    stream.write_all(first.as_bytes()).await.expect("the system buffers it");
     sleep_until(Instant::now() + ACCEPT_QUEUE_TIME).await;
-    // When: the rest comes right before the program goes on.
+    // When: the rest of the head is sent right before the proxy is resumed.
     let rest_sent_at = Instant::now();
-    stream.write_all(rest.as_bytes()).await.expect("the system takes it");
+    stream.write_all(rest.as_bytes()).await.expect("the system buffers it");
     fixture.proxy.resume_process().await;
-    // Then: only the time since then is taken from what the backend is told.
+    // Then: only the time since then is subtracted from the forwarded deadline.
     assert_eq!(status(&mut stream).await, Some(200));
     let elapsed = rest_sent_at.elapsed();
     let forwarded = fixture.forwarded_deadlines();
-    println!("{forwarded:?}, {elapsed:?} passed");
+    println!("forwarded {forwarded:?} after {elapsed:?}");
     assert_eq!(forwarded.len(), 1);
     assert!(
         forwarded[0] + elapsed + FORWARDED_DEADLINE_SLACK >= CLIENT_TIMEOUT,
-        "told {forwarded:?}, {elapsed:?} passed"
+        "forwarded {forwarded:?} after {elapsed:?}"
     );
 }
 
-/// Guards against work for a client that has given up, and against one that waits for ever.
+/// Guards against forwarding a request whose client has given up, and against leaving that client without an
+/// answer.
 #[tokio::test]
 async fn expired_request_in_the_accept_queue_is_not_forwarded() {
     let fixture = Fixture::new().await;
     fixture.proxy.pause().await;
     let mut clients = queued_clients(&fixture.proxy, ACCEPT_QUEUE_TIME / 2, 0).await;
-    let last_sent_at = clients.iter().map(|client| client.sent_at).max().expect("there are some");
+    let last_sent_at = clients.iter().map(|client| client.sent_at).max().expect("at least one client");
     sleep_until(last_sent_at + ACCEPT_QUEUE_TIME).await;
     fixture.proxy.resume_process().await;
     for client in &mut clients {
--- a/crates/proxy/tests/new_clients_at_capacity.rs
+++ b/crates/proxy/tests/new_clients_at_capacity.rs
@@ -1,4 +1,5 @@
-//! The started program full of clients that send again at once: a client that comes new gets its answer too.
+//! New clients of a proxy at its connection limit, whose other clients retry without a pause, are answered
+//! too.
 
 mod support;
 
@@ -15,26 +16,29 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// Descriptors of the proxy, and clients in the crowd.
+/// The descriptor limit of the proxy, and the number of busy clients.
 const DESCRIPTOR_LIMIT: usize = 128;
-/// A backend's time for a request.
+/// The time in which the backend serves a request.
 const SERVICE_TIME_MS: usize = 2000;
-/// A newcomer's deadline.
+/// The deadline of the request of a new client.
 const DEADLINE: Duration = Duration::from_secs(1);
-/// A newcomer learns its fate so long after its deadline at the latest.
+/// The longest time from the deadline of a new client to its answer or the close of its connection.
 const SLACK: Duration = Duration::from_millis(500);
-/// Newcomers that are under way at once, and how many come in turn in the place of each.
+/// The number of new clients at the same time.
 const CONCURRENT_NEW_CLIENTS: usize = 4;
+/// The number of new clients that follow one another in each place.
 const NEW_CLIENTS_IN_SEQUENCE: usize = 20;
 
-/// Clients that keep their connections and send again at once, whatever they were answered.
+/// Clients that keep their connections and send the next request at once, whatever the answer to the last one
+/// was.
 struct BusyClients {
     _tasks: JoinSet<()>,
     rejected: Arc<watch::Sender<usize>>,
 }
 
 impl BusyClients {
-    /// Returns once the proxy has rejected as many requests as there are clients.
+    /// Starts the clients, and returns once the proxy has rejected twice as many requests as there are
+    /// clients.
     async fn start(addr: SocketAddr) -> Self {
         let mut tasks = JoinSet::new();
         let rejected = Arc::new(watch::Sender::new(0));
@@ -52,6 +56,7 @@
     }
 }
 
+/// Sends requests on one connection until it is closed, and counts the rejected ones.
 async fn send_until_closed(addr: SocketAddr, rejected: &watch::Sender<usize>) {
     let Ok(stream) = TcpStream::connect(addr).await else { return };
     let io = hyper_util::rt::TokioIo::new(stream);
@@ -70,15 +75,15 @@
     }
 }
 
-/// What a newcomer learnt, and how long after its connect.
+/// The answer to a new client, if any, and the time from its connect.
 #[derive(Debug, Clone, Copy)]
 struct Outcome {
     status: Option<u16>,
     elapsed: Duration,
 }
 
-/// Connects, sends its request so much later, and waits for its fate: an answer, or the end of its connection, after
-/// which it comes again as long as its deadline lasts.
+/// Connects, sends a request after a delay, and waits for an answer or the end of the connection, after which
+/// it connects again until the deadline of the request.
 async fn connect_until_answered(addr: SocketAddr, send_delay: Duration) -> Outcome {
     let started_at = Instant::now();
     loop {
@@ -102,13 +107,13 @@
     status(&mut stream).await
 }
 
-/// An id that no other request of this program has.
+/// Returns an id that no other request of this test program has.
 fn unique_id() -> usize {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(1 << 60);
     NEXT_ID.fetch_add(1, SeqCst)
 }
 
-/// The fates of newcomers that send so long after their connect.
+/// Returns the outcomes of new clients that send their request `send_delay` after their connect.
 async fn run_new_clients(addr: SocketAddr, send_delay: Duration) -> Vec<Outcome> {
     let mut tasks = JoinSet::new();
     for _ in 0..CONCURRENT_NEW_CLIENTS {
@@ -123,8 +128,8 @@
     tasks.join_all().await.concat()
 }
 
-/// Newcomers that send at the latest 0.5 s after their connect learn their fate within their deadline and 0.5 s, nine in
-/// ten of them by an answer.
+/// Checks that new clients, which send at the latest 0.5 s after their connect, see an answer or a close
+/// within 0.5 s of their deadline, and that nine in ten of them get an answer.
 async fn assert_new_clients_are_answered(send_delay: Duration) {
     let script = Arc::new(BackendScript::default());
     script.service_time_ms.store(SERVICE_TIME_MS, SeqCst);
@@ -138,9 +143,9 @@
     let outcomes = run_new_clients(proxy.addr, send_delay).await;
     let rejected = *busy_clients.rejected.borrow();
     let answered = outcomes.iter().filter(|outcome| outcome.status.is_some()).count();
-    let slowest = outcomes.iter().map(|outcome| outcome.elapsed).max().expect("some came");
+    let slowest = outcomes.iter().map(|outcome| outcome.elapsed).max().expect("at least one client");
     println!(
-        "first byte after {send_delay:?}: {answered} of {} answered, the slowest after {slowest:?}; {rejected} of the crowd rejected",
+        "first byte after {send_delay:?}: {answered} of {} answered, the slowest after {slowest:?}; {rejected} requests of busy clients rejected",
         outcomes.len()
     );
     for line in log.lock().expect("no panic").iter().filter(|line| line.contains("no space")) {
@@ -152,11 +157,11 @@
 
 type LogLines = Arc<std::sync::Mutex<Vec<String>>>;
 
-/// Reads the program's log from now on.
+/// Collects the lines that the proxy logs from now on.
 fn collect_log(proxy: &mut Proxy) -> LogLines {
     let lines = LogLines::default();
     let collected = lines.clone();
-    let mut log = proxy.log.take().expect("nobody has it");
+    let mut log = proxy.log.take().expect("the log is not taken");
     tokio::spawn(async move {
         while let Ok(Some(line)) = log.next_line().await {
             collected.lock().expect("no panic").push(line);
@@ -180,12 +185,14 @@
     assert_new_clients_are_answered(Duration::from_millis(400)).await;
 }
 
-/// Clients that the proxy has places for.
+/// The number of clients that the proxy has room for.
 const CLIENT_CAPACITY: usize = 16;
-/// The halves of a body.
+/// The first half of a request body.
 const BODY_START: &str = "bo";
+/// The second half of a request body.
 const BODY_REST: &str = "dy";
 
+/// Starts a proxy with room for `CLIENT_CAPACITY` clients.
 async fn start_proxy_with_few_places() -> (Backend, Discovery, Proxy) {
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
@@ -197,18 +204,18 @@
     (backend, discovery, proxy)
 }
 
-/// A request up to the middle of its body.
+/// Returns a request up to the middle of its body.
 fn partial_upload() -> String {
     let head = call("POST /once", &format!("{:016x}", unique_id()));
     let length = BODY_START.len() + BODY_REST.len();
     head.replace("Host: o\r\n", &format!("Host: o\r\nContent-Length: {length}\r\n")) + BODY_START
 }
 
-/// Guards against evicting a client that has sent a part of its head for any that comes.
+/// Guards against evicting a client that has sent a part of its head in favor of new clients.
 #[tokio::test]
 async fn client_in_the_middle_of_its_head_is_not_evicted() {
     let (_backend, _discovery, proxy) = start_proxy_with_few_places().await;
-    // Given: all places are taken by clients that have sent half of their heads.
+    // Given: a proxy at capacity, whose clients have sent half of their heads.
     let mut senders = Vec::new();
     for _ in 0..CLIENT_CAPACITY {
         let text = call("GET /look?k=1", &format!("{:016x}", unique_id()));
@@ -217,22 +224,24 @@
         sender.write_all(first.as_bytes()).await.expect("open");
         senders.push((sender, rest.to_string()));
     }
-    // When: others come and are served, and the rest of the heads after them.
+    // When: new clients are served, and then the others send the rest of their heads.
     for _ in 0..4 {
         assert_eq!(proxy.call("look").await.0, 200);
     }
-    // Then: all have their answers.
+    // Then: all of them are answered.
     for (mut sender, rest) in senders {
         sender.write_all(rest.as_bytes()).await.expect("open");
-        assert!(status(&mut sender).await.is_some(), "it was closed unanswered");
+        assert!(status(&mut sender).await.is_some(), "the connection was closed without an answer");
     }
 }
 
-/// The same for its body: a client that was served before is not idle in the middle of it.
+/// Guards against evicting a client that was served before as idle while it is in the middle of its next
+/// body.
 #[tokio::test]
 async fn client_in_the_middle_of_its_body_is_not_evicted() {
     let (_backend, _discovery, proxy) = start_proxy_with_few_places().await;
-    // Given: all places are taken by clients that were served, and have sent half of the body of their next request.
+    // Given: a proxy at capacity, whose clients were served and have sent half of the body of their next
+    // request.
     let mut senders = Vec::new();
     for _ in 0..CLIENT_CAPACITY {
         let mut sender = RawConnection::connect(proxy.addr).await;
@@ -242,40 +251,40 @@
         all_is_read(&proxy, &sender).await;
         senders.push(sender);
     }
-    // When: others come and are served, and the rest of the bodies after them.
+    // When: new clients are served, and then the others send the rest of their bodies.
     for _ in 0..4 {
         assert_eq!(proxy.call("look").await.0, 200);
     }
-    // Then: all have their answers.
+    // Then: all of them are answered.
     for sender in &mut senders {
         sender.write(BODY_REST).await;
-        assert!(sender.read_answer().await.is_some(), "it was closed unanswered");
+        assert!(sender.read_answer().await.is_some(), "the connection was closed without an answer");
     }
 }
 
-/// Guards against clients that stop in the middle of their bodies and keep all others out.
+/// Guards against clients that stop in the middle of their bodies and take the room of all new clients.
 #[tokio::test]
 async fn stalled_uploads_do_not_block_new_clients() {
     let (_backend, _discovery, proxy) = start_proxy_with_few_places().await;
-    // Given: more of them than there are places, those included whose clients are only rejected.
+    // Given: more stalled uploads than the proxy has room for, some of which it may only reject.
     let mut stalled = Vec::new();
     for _ in 0..4 * CLIENT_CAPACITY {
         let mut client = RawConnection::connect(proxy.addr).await;
         client.write(partial_upload()).await;
         stalled.push(client);
     }
-    // When: another comes. Then: it is served, long before their time is over.
+    // When: a new client connects. Then: it is served long before the time limit of the stalled uploads.
     let started_at = Instant::now();
     assert_eq!(proxy.call("look").await.0, 200);
     assert!(started_at.elapsed() < DEADLINE, "{:?}", started_at.elapsed());
 }
 
-/// Memory that the proxy may use.
+/// The memory limit of the proxy.
 const MEMORY_MB: usize = 32;
-/// So often a client of the crowd is shut out.
+/// The number of connections that the proxy closes during the test.
 const CLOSED_CONNECTIONS: usize = 100_000;
 
-/// Guards against ended connections that stay in the accept loop's set and fill the memory.
+/// Guards against ended connections that stay in the task set of the accept loop and exhaust the memory.
 #[tokio::test(flavor = "multi_thread")]
 async fn reconnecting_clients_do_not_exhaust_the_memory() {
     let script = Arc::new(BackendScript::default());
@@ -297,14 +306,14 @@
     }
     in_time(closed.subscribe().wait_for(|count| *count >= CLOSED_CONNECTIONS)).await.expect("open");
     let resident_mb = proxy.resident_mb();
-    println!("{resident_mb} MB");
+    println!("{resident_mb} MB resident");
     assert!(resident_mb < MEMORY_MB, "{resident_mb} MB after {CLOSED_CONNECTIONS} connections");
 }
 
-/// Sends what is no request, and waits until the connection is shut.
+/// Sends bytes that are not an HTTP request, and waits until the connection is closed.
 async fn send_malformed_request(addr: SocketAddr) {
     let Ok(mut stream) = TcpStream::connect(addr).await else { return };
-    // One that is reset was shut, too.
+    // A reset counts as a close as well.
     let _ = stream.write_all(b"nothing\r\n\r\n").await;
     let _ = stream.read_to_end(&mut Vec::new()).await;
 }
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Settings put in force with SIGHUP, at the started program with real connections.
+//! Reloads of the configuration with SIGHUP while clients and backends are connected.
 
 mod support;
 
@@ -17,7 +17,7 @@
     a: Backend,
     discovery: Discovery,
     proxy: Proxy,
-    /// As it stands in the file.
+    /// The content of the configuration file.
     config: Value,
 }
 
@@ -33,18 +33,19 @@
 }
 
 impl Fixture {
-    /// Changes the file, sends SIGHUP, and gives the one line that the log has for it.
+    /// Changes the configuration file, sends SIGHUP, and returns the log line about it.
     async fn reload_with(&mut self, change: impl FnOnce(&mut Value)) -> String {
         change(&mut self.config);
         self.proxy.reload_line(&self.config.to_string()).await
     }
 
+    /// Returns the version of the configuration in force.
     async fn version_in_force(&self) -> u64 {
         self.proxy.admin_json("/v1/settings").await["version"].as_u64().expect("a number")
     }
 }
 
-/// One call of a tenant's on a connection of its own; its status.
+/// Sends a request for a tenant on its own connection, and returns the status of the answer.
 async fn status_for_tenant(proxy: &Proxy, tenant: &str) -> u16 {
     let mut call = request("look").body(Full::<Bytes>::default()).expect("well formed");
     call.headers_mut().insert("req-owner", tenant.parse().expect("a value"));
@@ -86,7 +87,7 @@
     let held_call = tokio::spawn(async move { client.call("look").await });
     fixture.script.wait_for_requests(1).await;
     let unknown = fixture.proxy.call("unheard").await;
-    // The others change their places.
+    // The index of the other classes changes.
     fixture.reload_with(|config| drop(classes(config).remove(0))).await;
     assert_eq!(fixture.proxy.call("look").await, unknown);
     for class in ["keep", "once"] {
@@ -98,15 +99,15 @@
     assert_eq!(fixture.proxy.call("look").await, (200, "a".into()));
 }
 
-/// A request that may not run twice when it was taken is not repeated, though its class may be by now; and the other
-/// way round.
+/// Guards against deciding on a retry by settings that are newer than the request: whether a request may run
+/// twice is decided by its class at its arrival, and a reload changes that neither way.
 #[tokio::test]
 async fn open_request_keeps_its_idempotency() {
     for (before, after, class, status, attempts) in
         [("fragile", "retryable", "once", 502, 1), ("retryable", "fragile", "look", 200, 2)]
     {
         let script = Arc::new(BackendScript::default());
-        // The first answer is broken off once the settings have changed.
+        // The first attempt is broken off once the settings have changed.
         let (break_connection, mut is_broken) = tokio::sync::watch::channel(false);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
@@ -135,12 +136,12 @@
         config["listen"] = "127.0.0.1:0".into();
         proxy.reload(&config.to_string(), "configuration applied").await;
         break_connection.send_replace(true);
-        assert_eq!(held_call.await.expect("no panic").0, status, "taken as {before}");
-        assert_eq!(1 + script.requests_at("b"), attempts, "taken as {before}");
+        assert_eq!(held_call.await.expect("no panic").0, status, "received as {before}");
+        assert_eq!(1 + script.requests_at("b"), attempts, "received as {before}");
     }
 }
 
-/// What can't be put in force is refused whole, with one line, and the admin API says why.
+/// An invalid configuration is rejected as a whole with one log line, and the admin API states the reason.
 #[tokio::test]
 async fn invalid_configuration_is_rejected_as_a_whole() {
     let mut fixture = start_fixture().await;
@@ -169,7 +170,8 @@
     for (key, change) in invalid {
         let mut config = valid.clone();
         tenants(&mut config).push(json!({"name": "zenith", "quotaPerS": 5.0}));
-        // All of these have a number above the one in force, but those that are refused for it.
+        // Every version here is above the one in force, except where the version is the reason for the
+        // rejection.
         config["version"] = 6.into();
         if key == "version" {
             config = valid.clone();
@@ -189,14 +191,15 @@
             "{key}"
         );
     }
-    // The next good one is taken.
+    // The next valid configuration is applied.
     fixture.config = valid;
     let log_line =
         fixture.reload_with(|config| (config["version"], config["known"]) = (6.into(), Value::Null)).await;
     assert!(log_line.contains("version 6"), "{log_line}");
 }
 
-/// With a number in the file that number counts, without one the next; the same file again is the same version.
+/// The version is the one in the file, or the next number if the file has none. An unchanged file keeps its
+/// version.
 #[tokio::test]
 async fn admin_api_shows_the_version_in_force() {
     let mut fixture = start_fixture().await;
@@ -211,7 +214,7 @@
     let admin_json = fixture.proxy.admin_json("/v1/settings").await;
     assert_eq!((&admin_json["version"], &admin_json["refused"]), (&40.into(), &Value::Null));
     assert_eq!(fixture.proxy.call_admin("POST", "/v1/settings").await, 405);
-    // A second process of the same proxy has the same file, and later a newer one.
+    // A second process of the same proxy has the same file; later the first one gets a newer file.
     let other = fixture.proxy.start_beside(&fixture.config).await;
     let processes = |one: u64, two: u64| {
         let mut all = vec![(fixture.proxy.id(), one), (other.id(), two)];
@@ -231,7 +234,7 @@
     }
 }
 
-/// A change of settings closes nothing: no client's connection, no backend's, and not that of the watch.
+/// A reload closes no connection: neither those of clients and backends nor that of the watch.
 #[tokio::test]
 async fn connections_survive_a_reload() {
     let mut fixture = start_fixture().await;
@@ -252,9 +255,9 @@
     }
     fixture.discovery.publish(vec![fixture.a.line("SERVING")]).await;
     assert!(!backends.has_changed().expect("open"));
-    assert_eq!(fixture.discovery.begun.load(SeqCst), 1, "the watch goes on");
+    assert_eq!(fixture.discovery.begun.load(SeqCst), 1, "the watch was started again");
     assert_eq!(fixture.version_in_force().await, 21);
-    // Where discovery moves, and nothing else, only the watch does.
+    // A reload that changes only the discovery address moves only the watch.
     let other = Discovery::start(vec![fixture.a.line("SERVING")]).await;
     let moved = other.config(settings())["discovery"].clone();
     fixture.reload_with(|config| config["discovery"] = moved).await;
@@ -264,7 +267,8 @@
     assert!(!backends.has_changed().expect("open"));
 }
 
-/// A head that came before a change and a body that comes after it: the request is taken under what is in force then.
+/// Guards against checking a request against outdated settings: its head is received before a reload and its
+/// body after it, and the settings in force at the end of the body apply.
 #[tokio::test]
 async fn body_after_a_reload_is_checked_against_new_settings() {
     type Change = fn(&mut Value);
@@ -276,11 +280,11 @@
     ];
     for (status, change) in changes {
         let mut fixture = start_fixture().await;
-        let mut client = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
+        let mut client = TcpStream::connect(fixture.proxy.addr).await.expect("the proxy listens");
         let head = "POST /keep?k=1 HTTP/1.1\r\nHost: o\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n\
                     Idempotency-Key: 1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n";
         client.write_all(head.as_bytes()).await.expect("open");
-        // That it is asked for its body shows that its head was read.
+        // The interim response shows that the proxy has read the head.
         let mut received = [0; 64];
         let length = in_time(client.read(&mut received)).await.expect("open");
         assert!(
@@ -297,16 +301,16 @@
     }
 }
 
-/// The part of a long body that came before a change is not streamed on where the settings in force know no such
-/// class: its connection ends with the answer, and what comes behind it is no request.
+/// Guards against streaming on a long body after a reload has removed the class of its request: the
+/// connection ends with the answer, and the bytes that follow are not read as a request.
 #[tokio::test]
 async fn body_is_not_read_on_once_its_class_is_removed() {
     let mut fixture = start_fixture().await;
-    let mut client = TcpStream::connect(fixture.proxy.addr).await.expect("it listens");
+    let mut client = TcpStream::connect(fixture.proxy.addr).await.expect("the proxy listens");
     let head = "POST /keep?k=1 HTTP/1.1\r\nHost: o\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n\
                 Idempotency-Key: 1\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n";
     client.write_all(head.as_bytes()).await.expect("open");
-    // That it is asked for its body shows that its head was read.
+    // The interim response shows that the proxy has read the head.
     let mut received = [0; 1024];
     let length = in_time(client.read(&mut received)).await.expect("open");
     assert!(received[..length].starts_with(b"HTTP/1.1 100"));
@@ -318,9 +322,9 @@
     let length = in_time(client.read(&mut received)).await.expect("open");
     assert!(received[..length].starts_with(b"HTTP/1.1 404"));
     let next = "0\r\n\r\nGET /look HTTP/1.1\r\nHost: o\r\nReq-Id: 2\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n\r\n";
-    // The connection may be closed already.
+    // The proxy may have closed the connection already.
     let _ = client.write_all(next.as_bytes()).await;
     let is_closed = matches!(in_time(client.read(&mut received)).await, Ok(0) | Err(_));
-    assert!(is_closed, "what lies behind the body was answered");
+    assert!(is_closed, "the bytes after the body were answered");
     assert_eq!(fixture.script.requests_at("a"), 0);
 }
--- a/crates/proxy/tests/reload_faults.rs
+++ b/crates/proxy/tests/reload_faults.rs
@@ -1,4 +1,5 @@
-//! A configuration that moves discovery, and a file that can't be read or is not whole when its signal comes.
+//! Reloads that change the discovery address, from a file that is unreadable or incomplete at the time of
+//! SIGHUP.
 
 mod support;
 
@@ -9,17 +10,18 @@
 use support::*;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// What a new configuration brings counts as notified so long after its signal.
+/// The time from SIGHUP after which the state that a new configuration leads to counts as notified to the
+/// proxy.
 const NOTIFIED_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// A file is whole, or a call succeeds again, so long after the signal.
+/// The time from SIGHUP until the file is complete or the system call succeeds again.
 const FAULT_DURATION: Duration = Duration::from_millis(500);
 
-/// A proxy whose discovery has just moved: at the new address backend `a` drains.
+/// A proxy whose discovery service has just moved to a new address, where backend `a` is draining.
 struct Fixture {
     script: Arc<BackendScript>,
     new_discovery: Discovery,
     proxy: Proxy,
-    /// The configuration that names the new address.
+    /// The configuration with the new address.
     config: Value,
     failing_calls: FailingCalls,
     _old_discovery: Discovery,
@@ -49,11 +51,11 @@
 }
 
 impl Fixture {
-    /// No new work goes to the draining backend from the time on that its drain counts as notified.
+    /// Checks that no new request goes to the draining backend once its drain counts as notified.
     async fn assert_drain_is_respected(&self, signalled_at: Instant, case: &str) {
         let applied =
             timeout_at(signalled_at + NOTIFIED_AFTER_RELOAD, self.new_discovery.wait_until_applied()).await;
-        assert!(applied.is_ok(), "{case}: the new address is not followed");
+        assert!(applied.is_ok(), "{case}: the new address is not in use");
         let requests_before = self.script.requests_at("a");
         for _ in 0..20 {
             assert_eq!(self.proxy.call("look").await, (200, "b".into()), "{case}");
@@ -62,7 +64,8 @@
     }
 }
 
-/// Guards against new work at draining backends after a move of discovery whose file was half written at its signal.
+/// Guards against new requests to draining backends after a change of the discovery address whose file was
+/// incomplete at the time of SIGHUP.
 #[tokio::test]
 async fn discovery_move_is_applied_after_a_partly_written_file() {
     for written_fraction in [0.0, 0.1, 0.5, 0.99] {
@@ -72,20 +75,21 @@
         let signalled_at = Instant::now();
         fixture.proxy.reload(&text[..written_bytes], "configuration rejected").await;
         sleep(FAULT_DURATION).await;
-        std::fs::write(&fixture.proxy.config, &text).expect("it is written");
+        std::fs::write(&fixture.proxy.config, &text).expect("the file is written");
         fixture
             .assert_drain_is_respected(signalled_at, &format!("{written_bytes} bytes of {}", text.len()))
             .await;
     }
 }
 
-/// Guards against new work at draining backends after a move of discovery whose file could not be read at its signal.
+/// Guards against new requests to draining backends after a change of the discovery address whose file could
+/// not be read at the time of SIGHUP.
 #[tokio::test]
 async fn discovery_move_is_applied_after_a_read_error() {
     for error in [Errno::ENFILE, Errno::EMFILE, Errno::EIO, Errno::ENOMEM, Errno::EACCES] {
         let mut fixture = start_fixture().await;
         fixture.failing_calls.fail("open", error);
-        std::fs::write(&fixture.proxy.config, fixture.config.to_string()).expect("it is written");
+        std::fs::write(&fixture.proxy.config, fixture.config.to_string()).expect("the file is written");
         let signalled_at = Instant::now();
         fixture.proxy.reload_as_it_is("configuration rejected").await;
         sleep(FAULT_DURATION).await;
@@ -94,19 +98,19 @@
     }
 }
 
-/// Guards against the same where the file is missing for a moment, as between a removal and a rename.
+/// Guards against the same if the file is missing for a moment, as between a removal and a rename.
 #[tokio::test]
 async fn discovery_move_is_applied_after_a_missing_file() {
     let mut fixture = start_fixture().await;
-    std::fs::remove_file(&fixture.proxy.config).expect("it is there");
+    std::fs::remove_file(&fixture.proxy.config).expect("the file exists");
     let signalled_at = Instant::now();
     fixture.proxy.reload_as_it_is("configuration rejected").await;
     sleep(FAULT_DURATION).await;
-    std::fs::write(&fixture.proxy.config, fixture.config.to_string()).expect("it is written");
+    std::fs::write(&fixture.proxy.config, fixture.config.to_string()).expect("the file is written");
     fixture.assert_drain_is_respected(signalled_at, "missing").await;
 }
 
-/// Guards against a log that is flooded by a file that stays broken.
+/// Guards against flooding the log while the configuration file stays broken.
 #[tokio::test]
 async fn broken_file_is_logged_once() {
     const BROKEN_DURATION: Duration = Duration::from_secs(2);
@@ -114,10 +118,10 @@
     let text = fixture.config.to_string();
     fixture.proxy.reload(&text[..text.len() / 2], "configuration rejected").await;
     sleep(BROKEN_DURATION).await;
-    std::fs::write(&fixture.proxy.config, &text).expect("it is written");
-    let log = fixture.proxy.log.as_mut().expect("it is read");
+    std::fs::write(&fixture.proxy.config, &text).expect("the file is written");
+    let log = fixture.proxy.log.as_mut().expect("the log is not taken");
     loop {
-        let line = in_time(log.next_line()).await.expect("readable").expect("it goes on");
+        let line = in_time(log.next_line()).await.expect("readable").expect("the log goes on");
         assert!(!line.contains("configuration rejected"), "{line}");
         if line.contains("configuration applied") {
             return;
--- a/crates/proxy/tests/restart.rs
+++ b/crates/proxy/tests/restart.rs
@@ -1,4 +1,5 @@
-//! A process that starts again while discovery is down: when it is ready, and that it can serve then.
+//! A process that restarts during an outage of discovery: when it reports ready, and that it serves from then
+//! on.
 
 mod support;
 
@@ -9,8 +10,9 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
+/// Returns whether the health check of the proxy reports that it is ready.
 async fn is_ready(proxy: &Proxy) -> bool {
-    let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("it listens");
+    let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("the proxy listens");
     let request = b"GET /health/ready HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n";
     let mut answer = Vec::new();
     let _ = stream.write_all(request).await;
@@ -29,8 +31,9 @@
     config
 }
 
-/// With a list that it had, also an old one, it waits for nothing: its first answer says ready, and it
-/// serves, also a crowd that comes at once. What discovery has to tell at its return holds.
+/// Guards against a start that waits for discovery although the configuration has an endpoint list, possibly
+/// an outdated one: the first health check reports ready, and several clients at once are served. After the
+/// outage, the list of discovery applies.
 #[tokio::test]
 async fn proxy_with_a_known_list_is_ready_at_once() {
     for (mode, outage) in [
@@ -42,7 +45,7 @@
         let script = Arc::new(BackendScript::default());
         let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
         let refusing_addr =
-            TcpStream::connect(a.addr).await.expect("it listens").local_addr().expect("bound");
+            TcpStream::connect(a.addr).await.expect("the backend listens").local_addr().expect("bound");
         let stale = [line("gone", refusing_addr, "SERVING"), a.line("SERVING")];
         let discovery = Discovery::start(vec![b.line("SERVING")]).await;
         discovery.set(outage).await;
@@ -63,7 +66,7 @@
     }
 }
 
-/// Without one it can't serve, and doesn't say so before it can; then it does.
+/// Guards against reporting ready without an endpoint list: the proxy is ready once discovery has sent one.
 #[tokio::test]
 async fn proxy_without_a_list_is_ready_once_it_gets_one() {
     for (mode, outage) in
--- a/crates/proxy/tests/start_faults.rs
+++ b/crates/proxy/tests/start_faults.rs
@@ -1,4 +1,4 @@
-//! A start that meets a failure which passes: of its configuration, its addresses, and signals that come early.
+//! Starts that meet a temporary failure of the configuration file or the addresses, or an early signal.
 
 mod support;
 
@@ -7,7 +7,8 @@
 use std::sync::Arc;
 use support::*;
 
-/// A discovery with one backend, and the configuration of a proxy with an admin API.
+/// Starts a backend and the discovery service that lists it, and returns the configuration of a proxy with an
+/// admin API.
 async fn start_fixture() -> (Arc<BackendScript>, Backend, Discovery, Value) {
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
@@ -17,7 +18,7 @@
     (script, a, discovery, config)
 }
 
-/// Guards against a start that fails since its configuration could not be read for a moment.
+/// Guards against a start that fails because its configuration is temporarily unreadable.
 #[tokio::test]
 async fn start_retries_an_unreadable_configuration() {
     for error in [Errno::ENFILE, Errno::EIO, Errno::ENOENT] {
@@ -33,7 +34,7 @@
     }
 }
 
-/// Guards against a start that fails since its addresses could not be bound for a moment.
+/// Guards against a start that fails because its addresses temporarily cannot be bound.
 #[tokio::test]
 async fn start_retries_addresses_that_cannot_be_bound() {
     for error in [Errno::EADDRINUSE, Errno::ENOBUFS, Errno::ENOMEM] {
@@ -49,7 +50,7 @@
     }
 }
 
-/// Guards against a new configuration's signal that ends a process which has just begun to start.
+/// Guards against a SIGHUP that ends a process which is still starting.
 #[tokio::test]
 async fn sighup_during_the_start_does_not_end_the_process() {
     let (_script, _a, discovery, config) = start_fixture().await;
--- a/crates/proxy/tests/upgrade_limits.rs
+++ b/crates/proxy/tests/upgrade_limits.rs
@@ -1,4 +1,4 @@
-//! An upgrade in which the new process has started and does not serve yet: who holds how many descriptors.
+//! The descriptors of the old and the new process in an upgrade whose new process does not serve yet.
 
 mod support;
 
@@ -12,14 +12,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// Descriptors of all processes of the proxy together.
+/// The descriptor limit of all processes of the proxy together.
 const DESCRIPTOR_LIMIT: usize = 128;
-/// Clients that come at once, each with a connection to a backend for so long.
+/// The number of clients that connect at the same time, each of which uses a connection to a backend.
 const CONCURRENT_CLIENTS: usize = 40;
+/// The time in which the backend serves a request.
 const SERVICE_TIME_MS: usize = 200;
-/// How long the descriptors are watched.
+/// The time for which the descriptors are counted.
 const WATCH_DURATION: Duration = Duration::from_secs(2);
-/// How often they are counted.
+/// The time between two counts.
 const COUNT_INTERVAL: Duration = Duration::from_millis(5);
 
 struct Fixture {
@@ -31,7 +32,7 @@
 }
 
 impl Fixture {
-    /// A proxy with many connections that are idle behind a request, on either side.
+    /// Starts a proxy with many idle connections to clients and backends that have each carried a request.
     async fn new() -> Self {
         let script = Arc::new(BackendScript::default());
         script.service_time_ms.store(SERVICE_TIME_MS, SeqCst);
@@ -48,7 +49,7 @@
         fixture
     }
 
-    /// Lets clients come at once, and stay, until more than a half of the descriptors is held.
+    /// Connects clients, which stay connected, until more than half of the descriptors are in use.
     async fn fill_with_connections(&mut self) {
         while self.old_descriptors() <= DESCRIPTOR_LIMIT / 2 {
             let mut calls = JoinSet::new();
@@ -67,7 +68,7 @@
         count_descriptors(&self.old.descriptor_table())
     }
 
-    /// A process beside the old one, which gets no endpoint list.
+    /// Starts a process next to the old one; it gets no endpoint list and therefore does not serve.
     async fn start_new_process(&self) -> StartingProcess {
         let discovery = Discovery::start(Vec::new()).await;
         discovery.set(DiscoveryBehavior::Silent).await;
@@ -83,7 +84,7 @@
             .stderr(Stdio::null())
             .kill_on_drop(true)
             .spawn()
-            .expect("it starts");
+            .expect("the program starts");
         StartingProcess { child, _discovery: discovery }
     }
 
@@ -104,15 +105,16 @@
 
 impl StartingProcess {
     fn descriptors(&self) -> usize {
-        count_descriptors(&format!("/proc/{}/fd", self.child.id().expect("it runs")))
+        count_descriptors(&format!("/proc/{}/fd", self.child.id().expect("the process runs")))
     }
 }
 
 fn count_descriptors(folder: &str) -> usize {
-    std::fs::read_dir(folder).expect("it runs").count()
+    std::fs::read_dir(folder).expect("the process runs").count()
 }
 
-/// Both hold no more than the limit, from the start of the new one on, and the old one gives up its half.
+/// Guards against two processes that together exceed the descriptor limit from the start of the new one on,
+/// and against an old process that does not free half of its descriptors.
 #[tokio::test]
 async fn descriptors_are_shared_with_a_starting_process() {
     let fixture = Fixture::new().await;
@@ -120,23 +122,24 @@
     let watched_until = Instant::now() + WATCH_DURATION;
     while Instant::now() < watched_until {
         let held = fixture.old_descriptors() + new.descriptors();
-        assert!(held <= DESCRIPTOR_LIMIT, "{held} descriptors are held");
+        assert!(held <= DESCRIPTOR_LIMIT, "{held} descriptors are in use");
         sleep(COUNT_INTERVAL).await;
     }
     assert!(fixture.old_descriptors() <= DESCRIPTOR_LIMIT / 2);
 }
 
-/// The half of a process that ends before it serves is there again.
+/// Guards against losing the descriptors that were left to a new process which ended before it served.
 #[tokio::test]
 async fn descriptors_return_when_the_starting_process_ends() {
     let mut fixture = Fixture::new().await;
     let mut new = fixture.start_new_process().await;
     fixture.wait_until_old_holds(|held| held <= DESCRIPTOR_LIMIT / 2).await;
-    new.child.kill().await.expect("it runs");
+    new.child.kill().await.expect("the process runs");
     in_time(fixture.fill_with_connections()).await;
 }
 
-/// Who does not serve yet is no successor: the process that is told to stop goes on as if it were alone.
+/// Guards against handing over to a new process that does not serve yet: the old process shuts down as if it
+/// were alone, and serves meanwhile.
 #[tokio::test]
 async fn shutdown_before_the_new_process_serves_keeps_serving() {
     let mut fixture = Fixture::new().await;
