--- a/crates/proxy/tests/accept_queue_delay.rs
+++ b/crates/proxy/tests/accept_queue_delay.rs
@@ -62,7 +62,11 @@
 }
 
 /// Connects clients that send their requests at once while the proxy accepts no connection.
-async fn queued_clients(proxy: &Proxy, client_timeout: Duration, body_bytes: usize) -> Vec<WaitingClient> {
+async fn connect_waiting_clients(
+    proxy: &Proxy,
+    client_timeout: Duration,
+    body_bytes: usize,
+) -> Vec<WaitingClient> {
     let mut clients = Vec::new();
     for number in 0..CONCURRENT_CLIENTS {
         let mut stream = connected(proxy.addr).await;
@@ -78,7 +82,7 @@
     let fixture = Fixture::new().await;
     // Given: complete requests on connections that are not accepted.
     fixture.proxy.pause().await;
-    let mut clients = queued_clients(&fixture.proxy, CLIENT_TIMEOUT, body_bytes).await;
+    let mut clients = connect_waiting_clients(&fixture.proxy, CLIENT_TIMEOUT, body_bytes).await;
     let last_sent_at = clients.iter().map(|client| client.sent_at).max().expect("at least one client");
     sleep_until(last_sent_at + ACCEPT_QUEUE_TIME).await;
     // When: the proxy is resumed.
@@ -142,7 +146,7 @@
 async fn expired_request_in_the_accept_queue_is_not_forwarded() {
     let fixture = Fixture::new().await;
     fixture.proxy.pause().await;
-    let mut clients = queued_clients(&fixture.proxy, ACCEPT_QUEUE_TIME / 2, 0).await;
+    let mut clients = connect_waiting_clients(&fixture.proxy, ACCEPT_QUEUE_TIME / 2, 0).await;
     let last_sent_at = clients.iter().map(|client| client.sent_at).max().expect("at least one client");
     sleep_until(last_sent_at + ACCEPT_QUEUE_TIME).await;
     fixture.proxy.resume_process().await;
--- a/crates/proxy/tests/new_clients_at_capacity.rs
+++ b/crates/proxy/tests/new_clients_at_capacity.rs
@@ -50,8 +50,8 @@
                 }
             });
         }
-        let enough = 2 * DESCRIPTOR_LIMIT;
-        in_time(rejected.subscribe().wait_for(|count| *count >= enough)).await.expect("open");
+        let min_rejected = 2 * DESCRIPTOR_LIMIT;
+        in_time(rejected.subscribe().wait_for(|count| *count >= min_rejected)).await.expect("open");
         BusyClients { _tasks: tasks, rejected }
     }
 }
@@ -193,7 +193,7 @@
 const BODY_REST: &str = "dy";
 
 /// Starts a proxy with room for `CLIENT_CAPACITY` clients.
-async fn start_proxy_with_few_places() -> (Backend, Discovery, Proxy) {
+async fn start_proxy_with_small_capacity() -> (Backend, Discovery, Proxy) {
     let script = Arc::new(BackendScript::default());
     let backend = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![backend.line("SERVING")]).await;
@@ -214,7 +214,7 @@
 /// Guards against evicting a client that has sent a part of its head in favor of new clients.
 #[tokio::test]
 async fn client_in_the_middle_of_its_head_is_not_evicted() {
-    let (_backend, _discovery, proxy) = start_proxy_with_few_places().await;
+    let (_backend, _discovery, proxy) = start_proxy_with_small_capacity().await;
     // Given: a proxy at capacity, whose clients have sent half of their heads.
     let mut senders = Vec::new();
     for _ in 0..CLIENT_CAPACITY {
@@ -239,7 +239,7 @@
 /// body.
 #[tokio::test]
 async fn client_in_the_middle_of_its_body_is_not_evicted() {
-    let (_backend, _discovery, proxy) = start_proxy_with_few_places().await;
+    let (_backend, _discovery, proxy) = start_proxy_with_small_capacity().await;
     // Given: a proxy at capacity, whose clients were served and have sent half of the body of their next
     // request.
     let mut senders = Vec::new();
@@ -265,7 +265,7 @@
 /// Guards against clients that stop in the middle of their bodies and take the room of all new clients.
 #[tokio::test]
 async fn stalled_uploads_do_not_block_new_clients() {
-    let (_backend, _discovery, proxy) = start_proxy_with_few_places().await;
+    let (_backend, _discovery, proxy) = start_proxy_with_small_capacity().await;
     // Given: more stalled uploads than the proxy has room for, some of which it may only reject.
     let mut stalled = Vec::new();
     for _ in 0..4 * CLIENT_CAPACITY {
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -169,14 +169,14 @@
     let release = Arc::new(Notify::new());
     script.give([BackendBehavior::Hold(release.clone()), BackendBehavior::Hold(release.clone())]);
     let (mut first, mut second) = (proxy.client().await, proxy.client().await);
-    let held = [
+    let held_calls = [
         tokio::spawn(async move { first.call("look").await }),
         tokio::spawn(async move { second.call("look").await }),
     ];
     script.wait_for_requests(2).await;
     release.notify_one();
     release.notify_one();
-    for call in held {
+    for call in held_calls {
         assert_eq!(call.await.expect("no panic").0, 200);
     }
     assert_eq!(a.total(), 2);
@@ -307,35 +307,35 @@
 
 /// Checks that the requests of `fill_concurrency_limit` have ended at the backends, which release nothing by
 /// themselves, and that their slots are free.
-async fn assert_all_cancelled(fixture: &Fixture, calls: usize, releases: &[Arc<Notify>]) {
+async fn assert_all_cancelled(fixture: &Fixture, attempts: usize, releases: &[Arc<Notify>]) {
     // The next request takes the script entry of the request that was rejected by `fill_concurrency_limit`.
     releases.last().expect("one release per request").notify_one();
-    assert_cancelled_soon(fixture, calls).await;
+    assert_cancelled_soon(fixture, attempts).await;
 }
 
 #[tokio::test]
 async fn requests_of_disconnected_clients_are_cancelled() {
     let fixture = start_fixture(with_short_queue_wait()).await;
     let (clients, releases) = fill_concurrency_limit(&fixture, "Req-Deadline-Ms: 60000").await;
-    let calls = clients.len();
+    let attempts = clients.len();
     for client in clients {
         disconnect(client).await;
     }
-    assert_all_cancelled(&fixture, calls, &releases).await;
+    assert_all_cancelled(&fixture, attempts, &releases).await;
 }
 
 #[tokio::test]
 async fn timed_out_requests_are_cancelled() {
     let fixture = start_fixture(with_short_queue_wait()).await;
     let (clients, releases) = fill_concurrency_limit(&fixture, "Req-Deadline-Ms: 1500").await;
-    let calls = clients.len();
+    let attempts = clients.len();
     for mut client in clients {
         // A retryable request is rejected at its deadline, since it may be sent again.
         let mut answer = Vec::new();
         assert_ne!(in_time(client.read_buf(&mut answer)).await.expect("open"), 0);
         assert!(answer.starts_with(b"HTTP/1.1 503"), "{}", String::from_utf8_lossy(&answer));
     }
-    assert_all_cancelled(&fixture, calls, &releases).await;
+    assert_all_cancelled(&fixture, attempts, &releases).await;
 }
 
 /// Guards against a quota that still counts the requests of disconnected clients. The tenant may have two
@@ -360,13 +360,13 @@
     let call = request("once").body(Full::default()).expect("well formed");
     let (mut parts, body) = call.into_parts();
     parts.headers.insert("req-deadline-ms", "700".parse().expect("a value"));
-    let start = Instant::now();
+    let started_at = Instant::now();
     let (status, _) = fixture.proxy.client().await.send(hyper::Request::from_parts(parts, body)).await;
     assert!(
         (500..600).contains(&status) && status != 503,
         "{status}: only 503 states that the request did not run"
     );
-    assert!(start.elapsed() >= Duration::from_millis(500), "the request failed too early");
+    assert!(started_at.elapsed() >= Duration::from_millis(500), "the request failed too early");
     // No client waits for the response any more; the close of the connection tells the backend.
     assert_cancelled_soon(&fixture, 1).await;
 }
@@ -377,7 +377,7 @@
     let release = Arc::new(Notify::new());
     fixture.script.give([BackendBehavior::Hold(release.clone())]);
     let (mut busy, mut idle) = (fixture.proxy.client().await, fixture.proxy.client().await);
-    let held = tokio::spawn(async move { busy.call("once").await });
+    let held_call = tokio::spawn(async move { busy.call("once").await });
     fixture.script.wait_for_requests(1).await;
     fixture.proxy.terminate().await;
     assert_eq!(idle.call("look").await.0, 200, "idle connections stay usable");
@@ -388,7 +388,7 @@
     })
     .await;
     release.notify_one();
-    assert_eq!(held.await.expect("no panic").0, 200);
+    assert_eq!(held_call.await.expect("no panic").0, 200);
     assert_eq!(fixture.proxy.ended().await.code(), Some(0));
 }
 
@@ -415,10 +415,10 @@
     let mut fixture = start_fixture(settings()).await;
     fixture.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
     let mut client = fixture.proxy.client().await;
-    let held = tokio::spawn(async move { client.call("once").await });
+    let held_call = tokio::spawn(async move { client.call("once").await });
     fixture.script.wait_for_requests(1).await;
     fixture.proxy.terminate().await;
-    let (status, _) = held.await.expect("no panic");
+    let (status, _) = held_call.await.expect("no panic");
     assert_eq!(status, 504, "the request may have run");
     assert_eq!(fixture.proxy.ended().await.code(), Some(0));
 }
@@ -451,11 +451,11 @@
     let config = discovery.config(settings());
     let proxy = Proxy::start_as(&config, "ulimit -n 24; exec \"$0\"").await;
     discovery.wait_until_applied().await;
-    let mut crowd = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..60 {
-        crowd.push(TcpStream::connect(proxy.addr).await.expect("the system queues the connection"));
+        connections.push(TcpStream::connect(proxy.addr).await.expect("the system queues the connection"));
     }
-    drop(crowd);
+    drop(connections);
     for _ in 0..20 {
         assert_eq!(proxy.call("look").await.0, 200);
     }
@@ -510,7 +510,7 @@
             "{class} without {header}"
         );
     }
-    let odd = [
+    let malformed = [
         (request("look").uri("/nothing?k=1"), 404),
         (request("look").uri("/"), 404),
         (request("look").method("POST"), 405),
@@ -519,7 +519,7 @@
         (request("look").header("req-owner", "other"), 400),
         (request("look").header("req-id", "second"), 400),
     ];
-    for (call, status) in odd {
+    for (call, status) in malformed {
         let call = call.body(Full::default()).expect("well formed");
         assert_eq!(fixture.proxy.client().await.send(call).await.0, status);
     }
@@ -575,13 +575,13 @@
     let fixture = start_fixture(settings()).await;
     let body = raw_request("POST /once", "a", "Req-Deadline-Ms: 60000|Content-Length: 300") + "half";
     let head = "GET /look HTTP/1.1\r\nHost:";
-    let start = Instant::now();
+    let started_at = Instant::now();
     let (silent, head, body) = tokio::join!(
         send_raw(fixture.proxy.addr, b""),
         send_raw(fixture.proxy.addr, head.as_bytes()),
         send_raw(fixture.proxy.addr, body.as_bytes())
     );
-    assert!(start.elapsed() < Duration::from_secs(20), "another time limit ended the wait");
+    assert!(started_at.elapsed() < Duration::from_secs(20), "another time limit ended the wait");
     // A request that may still arrive in full on such a connection has its answer already.
     assert_eq!((silent.as_str(), head.as_str()), (REJECTED_FIRST_REQUEST, REJECTED_FIRST_REQUEST));
     assert!(body.starts_with("HTTP/1.1 408 "), "{body}");
@@ -605,11 +605,11 @@
         hyper::Request::from_parts(parts, body)
     };
     let (mut first_client, mut second_client) = (fixture.proxy.client().await, fixture.proxy.client().await);
-    let first = tokio::spawn(async move { first_client.send(call()).await });
+    let first_call = tokio::spawn(async move { first_client.send(call()).await });
     fixture.script.wait_for_requests(1).await;
     assert_eq!(second_client.send(call()).await.0, 409);
     release.notify_one();
-    assert_eq!(first.await.expect("no panic").0, 200);
+    assert_eq!(first_call.await.expect("no panic").0, 200);
     assert_eq!(fixture.script.seen.borrow().len(), 1, "the duplicate request was not forwarded");
     assert_eq!(second_client.send(call()).await.0, 200, "the id is free once its request is answered");
 }
@@ -709,13 +709,13 @@
     let (backend, proxy, _discovery) =
         start_scripted(move |n| Some([answers.get(n)?.clone(), Vec::new()])).await;
     for n in 0..count {
-        let start = Instant::now();
+        let started_at = Instant::now();
         assert_eq!(
             proxy.call("once").await.0,
             502,
             "malformed response {n} is neither passed on nor answered with 503"
         );
-        assert!(start.elapsed() < Duration::from_secs(4), "the proxy waited on the malformed response");
+        assert!(started_at.elapsed() < Duration::from_secs(4), "the proxy waited on the malformed response");
         in_time(backend.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
     }
     assert_eq!(proxy.call("once").await, (200, "good".into()));
--- a/crates/proxy/tests/response_copies.rs
+++ b/crates/proxy/tests/response_copies.rs
@@ -253,13 +253,13 @@
     let list = ["a", "b"].iter().zip(&backends).map(|(name, backend)| line(name, backend.addr, "SERVING"));
     let discovery = Discovery::start(list.collect()).await;
     let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
-    let mut wrong = 0;
+    let mut wrong_responses = 0;
     let calls: [_; CONCURRENT_CLIENTS] = std::array::from_fn(|_| call_in_a_row(&proxy, "look", 300));
     let [a, b, c, d, e] = calls;
     let answers = tokio::join!(a, b, c, d, e);
     for (id, (status, body)) in [answers.0, answers.1, answers.2, answers.3, answers.4].concat() {
         assert_eq!(status, 200);
-        wrong += usize::from(body != id);
+        wrong_responses += usize::from(body != id);
     }
-    assert!(wrong <= MAX_DELIVERED_COPIES, "{wrong} of 1500 responses were wrong");
+    assert!(wrong_responses <= MAX_DELIVERED_COPIES, "{wrong_responses} of 1500 responses were wrong");
 }
