--- a/crates/proxy/tests/accept_queue_delay.rs
+++ b/crates/proxy/tests/accept_queue_delay.rs
@@ -145,11 +145,14 @@
 #[tokio::test]
 async fn expired_request_in_the_accept_queue_is_not_forwarded() {
     let fixture = Fixture::new().await;
+    // Given: requests in the accept queue whose deadline passes.
     fixture.proxy.pause().await;
     let mut clients = connect_waiting_clients(&fixture.proxy, ACCEPT_QUEUE_TIME / 2, 0).await;
     let last_sent_at = clients.iter().map(|client| client.sent_at).max().expect("at least one client");
     sleep_until(last_sent_at + ACCEPT_QUEUE_TIME).await;
+    // When: the proxy is resumed.
     fixture.proxy.resume_process().await;
+    // Then: each is answered with an error, and none is forwarded.
     for client in &mut clients {
         let answer = status(&mut client.stream).await;
         assert!(matches!(answer, Some(429 | 502 | 503 | 504)), "{answer:?}");
--- a/crates/proxy/tests/first_response_copies.rs
+++ b/crates/proxy/tests/first_response_copies.rs
@@ -619,13 +619,16 @@
 /// response was held: the next client on it would get that response.
 #[tokio::test]
 async fn response_held_at_a_disconnect_reaches_no_other_client() {
+    // Given: a request whose response is held.
     let mut held = HeldRequest::new(DEADLINE, Duration::ZERO).await;
     assert_eq!(held.received_within(RESPONSE_DELAY).await, "", "a copy was passed on");
+    // When: its client disconnects.
     held.client.shutdown().await.expect("open");
     // The proxy closes the connection of a client that has disconnected, in order or with a reset; there is
     // nothing left to read.
     let end = in_time(held.client.read_to_end(&mut Vec::new())).await;
     assert_eq!(end.unwrap_or_default(), 0);
+    // Then: the next requests on the connection get their own responses.
     held.fixture.gate.open(1);
     held.assert_others_are_served().await;
 }
@@ -634,10 +637,13 @@
 /// responses may take that long: the copy, two answers, a rejection, or none.
 #[tokio::test]
 async fn request_with_a_held_response_fails_at_its_deadline() {
+    // Given: a request whose response is held.
     let mut held = HeldRequest::new(SHORT_DEADLINE, SHORT_DEADLINE / 4).await;
+    // When: its deadline passes. Then: it fails without a 503, since it may have run.
     let answer = held.received_within(SHORT_DEADLINE + MAX_LATENESS).await;
     assert!(answer.starts_with("HTTP/1.1 5"), "{answer}");
     assert!(!answer.starts_with("HTTP/1.1 503"), "a rejection although the request may have run: {answer}");
+    // When: the response is received. Then: it is not passed on, and further requests are served.
     held.fixture.gate.open(1);
     assert_eq!(held.received_within(RESPONSE_DELAY).await, "", "a second answer");
     assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
@@ -648,10 +654,13 @@
 /// answer.
 #[tokio::test]
 async fn held_response_is_sent_during_a_graceful_shutdown() {
+    // Given: a request whose response is held.
     let mut held = HeldRequest::new(DEADLINE, Duration::ZERO).await;
+    // When: the proxy gets a SIGTERM before it receives the response.
     held.fixture.proxy.terminate().await;
     sleep(RESPONSE_DELAY).await;
     held.fixture.gate.open(1);
+    // Then: the request is answered with its own response.
     let answer = held.received_within(DEADLINE).await;
     assert!(answer.starts_with("HTTP/1.1 200") && answer.ends_with(&held.id), "{answer}");
     assert_eq!(held.fixture.times_received(&held.id), 1);
@@ -714,12 +723,14 @@
     let backend = RawBackend::start().await;
     let discovery = Discovery::start(vec![line("a", backend.addr, "SERVING")]).await;
     let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
+    // When: a response is longer than the part that can be compared.
     let mut client = RawConnection::connect(proxy.addr).await;
     client.write(call("GET /look", "long")).await;
     let mut connection = backend.accept().await;
     connection.read_request().await.expect("a request");
     let body = "x".repeat(100 * 1024);
     connection.write(response(200, "", &body)).await;
+    // Then: it is passed on, and its connection is closed.
     assert_eq!(client.read_answer().await, Some((200, body)));
     assert_eq!(connection.read_to_close().await, b"");
 }
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -41,8 +41,10 @@
     let body = "a claim".repeat(9000);
     let call = request("keep").body(Full::from(body.clone())).expect("well formed");
     let id = call.headers()["req-id"].clone();
+    // When: the request is sent through the proxy.
     let (status, answer) = fixture.proxy.client().await.send(call).await;
     assert_eq!(status, 200);
+    // Then: the backend received it as it was sent, with the remaining time as its deadline.
     let seen = fixture.script.seen.borrow();
     let [(name, head, body_received)] = &seen[..] else { panic!("the request runs once") };
     assert_eq!((answer.as_str(), body_received), (*name, &body.into()));
@@ -125,8 +127,8 @@
     }
     let connections = || fixture.a.total() + fixture.b.total();
     assert!(connections() <= 2, "{} connections", connections());
-    // A request on a connection that its backend closes while idle would meet a reset, and an unsafe one
-    // would fail.
+    // When: the backends close the idle connections. A request on one of them would meet a reset, and an unsafe
+    // one would fail.
     fixture.a.close_idle().await;
     fixture.b.close_idle().await;
     for _ in 0..20 {
@@ -168,6 +170,7 @@
     let proxy = Proxy::wait_until_applied(&discovery, with_cap("connIdle", 3000.0.into())).await;
     let release = Arc::new(Notify::new());
     script.give([BackendBehavior::Hold(release.clone()), BackendBehavior::Hold(release.clone())]);
+    // Given: two connections to the backend, opened by two concurrent requests.
     let (mut first, mut second) = (proxy.client().await, proxy.client().await);
     let held_calls = [
         tokio::spawn(async move { first.call("look").await }),
@@ -180,6 +183,7 @@
         assert_eq!(call.await.expect("no panic").0, 200);
     }
     assert_eq!(a.total(), 2);
+    // When: single requests follow. Then: one connection is closed, and the other serves them.
     in_time(async {
         while *a.open.borrow() > 1 {
             assert_eq!(proxy.call("look").await.0, 200);
@@ -187,7 +191,7 @@
         }
     })
     .await;
-    assert_eq!(a.total(), 2, "the requests used the open connections");
+    assert_eq!(a.total(), 2, "requests should use the open connections");
 }
 
 #[tokio::test]
@@ -195,19 +199,21 @@
     let fixture = start_fixture(settings()).await;
     let release = Arc::new(Notify::new());
     fixture.script.give([BackendBehavior::Hold(release.clone())]);
+    // Given: a request in flight at one of the backends.
     let mut client = fixture.proxy.client().await;
     let held_call = tokio::spawn(async move { client.call("once").await });
     fixture.script.wait_for_requests(1).await;
     let busy_name = fixture.script.seen.borrow()[0].0;
     let (draining, other) =
         if busy_name == "a" { (&fixture.a, &fixture.b) } else { (&fixture.b, &fixture.a) };
+    // When: that backend drains. Then: new requests go to the other one, and the open request is served.
     fixture.discovery.publish(vec![draining.line("DRAINING"), other.line("SERVING")]).await;
     for _ in 0..20 {
         assert_eq!(fixture.proxy.call("look").await, (200, other.name.into()));
     }
     release.notify_one();
     assert_eq!(held_call.await.expect("no panic"), (200, busy_name.into()));
-    // The connection to the draining backend is closed as well, since no request will use it.
+    // Then: the connection to the draining backend is closed as well, since no request will use it.
     draining.all_closed().await;
     fixture.discovery.publish(vec![draining.line("SERVING"), other.line("DRAINING")]).await;
     assert_eq!(fixture.proxy.call("look").await, (200, draining.name.into()));
@@ -215,6 +221,7 @@
 
 #[tokio::test]
 async fn connect_completed_after_the_drain_grace_is_not_used() {
+    // Given: a connect that is still under way when its backend drains.
     let (listener, queue_fillers) = silent().await;
     let addr = listener.local_addr().expect("bound");
     let discovery = Discovery::start(vec![line("a", addr, "SERVING")]).await;
@@ -227,13 +234,13 @@
     discovery.publish(vec![line("a", addr, "DRAINING"), b.line("SERVING")]).await;
     let drain_published_at = Instant::now();
     tokio::time::sleep(Duration::from_millis(600)).await;
-    // The accept queue has room only from here on; the connect succeeds at the next retransmission of its
-    // SYN.
+    // When: the accept queue gets room only now, and the connect succeeds at the next retransmission of its SYN.
     for _ in &queue_fillers {
         drop(in_time(listener.accept()).await.expect("a queued connection"));
     }
     let (mut late_connection, _) = in_time(listener.accept()).await.expect("the proxy's connection");
     assert!(drain_published_at.elapsed() > Duration::from_millis(500));
+    // Then: nothing is sent on that connection, and the request is served by the other backend.
     assert_eq!(
         in_time(late_connection.read(&mut [0; 64])).await.expect("closed"),
         0,
@@ -347,8 +354,11 @@
     let mut limited_quota = with_short_queue_wait();
     limited_quota["tenants"][0]["quotaPerS"] = 0.001.into();
     let fixture = start_fixture(limited_quota).await;
+    // Given: a tenant at its quota, and a proxy at its concurrency limit.
     let (mut clients, releases) = fill_concurrency_limit(&fixture, "Req-Deadline-Ms: 60000").await;
+    // When: one client disconnects.
     disconnect(clients.remove(0)).await;
+    // Then: the next request is served.
     releases.last().expect("one release per request").notify_one();
     assert_eq!(fixture.proxy.call("look").await.0, 200);
 }
@@ -357,6 +367,7 @@
 async fn request_fails_before_its_deadline_and_is_cancelled() {
     let fixture = start_fixture(settings()).await;
     fixture.script.give([BackendBehavior::Hold(Arc::new(Notify::new()))]);
+    // Given: a backend that does not answer, and a deadline of 700 ms.
     let call = request("once").body(Full::default()).expect("well formed");
     let (mut parts, body) = call.into_parts();
     parts.headers.insert("req-deadline-ms", "700".parse().expect("a value"));
@@ -367,7 +378,7 @@
         "{status}: only 503 states that the request did not run"
     );
     assert!(started_at.elapsed() >= Duration::from_millis(500), "the request failed too early");
-    // No client waits for the response any more; the close of the connection tells the backend.
+    // Then: the close of the connection tells the backend that no client waits for the response any more.
     assert_cancelled_soon(&fixture, 1).await;
 }
 
@@ -376,17 +387,20 @@
     let mut fixture = start_fixture(settings()).await;
     let release = Arc::new(Notify::new());
     fixture.script.give([BackendBehavior::Hold(release.clone())]);
+    // Given: a request in flight, and an idle client.
     let (mut busy, mut idle) = (fixture.proxy.client().await, fixture.proxy.client().await);
     let held_call = tokio::spawn(async move { busy.call("once").await });
     fixture.script.wait_for_requests(1).await;
+    // When: the proxy gets a SIGTERM. Then: requests are served until the listener has closed.
     fixture.proxy.terminate().await;
-    assert_eq!(idle.call("look").await.0, 200, "idle connections stay usable");
+    assert_eq!(idle.call("look").await.0, 200, "idle connections should stay usable");
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(fixture.proxy.call("look").await.0, 200, "new connections are accepted for a while");
+    assert_eq!(fixture.proxy.call("look").await.0, 200, "new connections should be accepted for a while");
     in_time(async {
         while idle.0.ready().await.is_ok() && TcpStream::connect(fixture.proxy.addr).await.is_ok() {}
     })
     .await;
+    // Then: the open request is answered before the process ends.
     release.notify_one();
     assert_eq!(held_call.await.expect("no panic").0, 200);
     assert_eq!(fixture.proxy.ended().await.code(), Some(0));
@@ -404,6 +418,7 @@
     let mut idle = fixture.proxy.client().await;
     assert_eq!(idle.call("look").await.0, 200);
     fixture.proxy.terminate().await;
+    // When: the listener has closed. Then: the open connection is still served.
     in_time(async { while TcpStream::connect(fixture.proxy.addr).await.is_ok() {} }).await;
     assert_eq!(idle.call("look").await.0, 200);
     drop(idle);
@@ -426,12 +441,14 @@
 #[tokio::test]
 async fn reload_switches_to_another_discovery_address() {
     let mut fixture = start_fixture(settings()).await;
-    // The list version of the other discovery service is lower than the current one. A watch that asked it
+    // Given: another discovery service, whose list version is lower than the current one. A watch that asked it
     // for changes after the current version would wait forever.
     fixture.discovery.publish(vec![fixture.a.line("SERVING")]).await;
     let other = Discovery::start(vec![fixture.b.line("SERVING")]).await;
+    // When: a reload is rejected. Then: the old discovery service applies.
     fixture.proxy.reload("{", "configuration rejected").await;
     assert_eq!(fixture.proxy.call("look").await, (200, "a".into()));
+    // When: a reload names the other discovery service. Then: only its list applies, as do its changes.
     fixture.proxy.reload(&other.config(settings()).to_string(), "configuration applied").await;
     other.wait_until_applied().await;
     in_time(fixture.discovery.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
@@ -447,15 +464,17 @@
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.line("SERVING")]).await;
-    // The descriptor limit of the system is far below the configured one.
+    // Given: a descriptor limit of the system far below the configured one.
     let config = discovery.config(settings());
     let proxy = Proxy::start_as(&config, "ulimit -n 24; exec \"$0\"").await;
     discovery.wait_until_applied().await;
+    // When: more clients connect than there are descriptors, and disconnect.
     let mut connections = Vec::new();
     for _ in 0..60 {
         connections.push(TcpStream::connect(proxy.addr).await.expect("the system queues the connection"));
     }
     drop(connections);
+    // Then: new clients are served.
     for _ in 0..20 {
         assert_eq!(proxy.call("look").await.0, 200);
     }
@@ -480,17 +499,21 @@
         silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system queues the connection"));
         silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system queues the connection"));
     }
-    // When: hundreds of silent clients connect. Then: the served clients lose neither their connections nor
-    // time.
+    // When: hundreds of silent clients connect.
     let mut active = proxy.client().await;
     assert_eq!(active.call("look").await.0, 200);
     let started_at = Instant::now();
     for _ in 0..200 {
         silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system queues the connection"));
     }
-    assert_eq!(active.call("look").await.0, 200, "a client that was served before keeps its connection");
+    // Then: the client that was served and a new one are served without a delay.
+    assert_eq!(
+        active.call("look").await.0,
+        200,
+        "a client that was served before should keep its connection"
+    );
     assert_eq!(proxy.call("look").await.0, 200);
-    assert!(started_at.elapsed() < Duration::from_secs(2), "no request waited for a time limit");
+    assert!(started_at.elapsed() < Duration::from_secs(2), "no request should wait for a time limit");
 }
 
 #[tokio::test]
@@ -535,6 +558,7 @@
     String::from_utf8(answer).expect("text")
 }
 
+/// Returns a request as text, with additional headers that are separated by `|`.
 fn raw_request(method_and_path: &str, id: &str, headers: &str) -> String {
     let mut text = format!("{method_and_path} HTTP/1.1\r\nHost: o\r\nReq-Id: {id}\r\nReq-Owner: acme\r\n");
     for header in headers.split('|') {
@@ -567,7 +591,7 @@
         let statuses: Vec<_> = answer.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
         assert_eq!(statuses, [status], "{headers}");
     }
-    assert_eq!(fixture.script.seen.borrow().len(), 0, "no request was forwarded");
+    assert_eq!(fixture.script.seen.borrow().len(), 0, "no request should be forwarded");
 }
 
 #[tokio::test]
@@ -604,14 +628,17 @@
         parts.headers.insert("req-id", "5d468814b7549764".parse().expect("a value"));
         hyper::Request::from_parts(parts, body)
     };
+    // Given: an open request.
     let (mut first_client, mut second_client) = (fixture.proxy.client().await, fixture.proxy.client().await);
     let first_call = tokio::spawn(async move { first_client.send(call()).await });
     fixture.script.wait_for_requests(1).await;
+    // When: another request has the same id. Then: it is rejected.
     assert_eq!(second_client.send(call()).await.0, 409);
+    // When: the first request is answered. Then: its id is free.
     release.notify_one();
     assert_eq!(first_call.await.expect("no panic").0, 200);
-    assert_eq!(fixture.script.seen.borrow().len(), 1, "the duplicate request was not forwarded");
-    assert_eq!(second_client.send(call()).await.0, 200, "the id is free once its request is answered");
+    assert_eq!(fixture.script.seen.borrow().len(), 1, "the duplicate request should not be forwarded");
+    assert_eq!(second_client.send(call()).await.0, 200, "the id should be free once its request is answered");
 }
 
 /// Other backends would reject the request as well, and the failure does not count against this one.
@@ -633,18 +660,21 @@
     let fixture = start_fixture(settings()).await;
     let release = Arc::new(Notify::new());
     fixture.script.give([BackendBehavior::Hold(release.clone())]);
+    // Given: two pipelined requests, the second of which has a deadline of 300 ms.
     let first = raw_request("GET /look", "a", "Req-Deadline-Ms: 60000");
     let second = raw_request("GET /look", "b", "Req-Deadline-Ms: 300|Connection: close");
     let addr = fixture.proxy.addr;
     let text = first + &second;
     let answers = tokio::spawn(async move { send_raw(addr, text.as_bytes()).await });
     fixture.script.wait_for_requests(1).await;
+    // When: the first one is answered after 400 ms.
     tokio::time::sleep(Duration::from_millis(400)).await;
     release.notify_one();
+    // Then: the second one is rejected and not forwarded.
     let answers = answers.await.expect("no panic");
     let statuses: Vec<_> = answers.split("HTTP/1.1 ").skip(1).map(|a| &a[..3]).collect();
     assert_eq!(statuses, ["200", "503"]);
-    assert_eq!(fixture.script.seen.borrow().len(), 1, "the deadline passed before the request was read");
+    assert_eq!(fixture.script.seen.borrow().len(), 1, "the expired request should not be forwarded");
 }
 
 /// The total size of buffered bodies is bounded by the configured memory; requests beyond it are rejected.
@@ -657,8 +687,8 @@
     config["limits"]["memory_mb"] = 8.into();
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
-    // A quarter of the memory holds 32 such bodies. None of them ends; the first one beyond the limit is
-    // rejected at once.
+    // When: more unfinished bodies are sent than a quarter of the memory holds, which is 32 of them. The first
+    // one beyond the limit is rejected at once.
     let mut clients = Vec::new();
     for number in 0..40 {
         let text =
@@ -668,6 +698,7 @@
         stream.write_all(&vec![b'x'; 65_535]).await.expect("the connection is open");
         clients.push(stream);
     }
+    // Then: the bodies beyond the limit are rejected, and other requests are served.
     let mut rejected = 0;
     for mut stream in clients {
         let mut answer = [0; 12];
@@ -713,13 +744,13 @@
         assert_eq!(
             proxy.call("once").await.0,
             502,
-            "malformed response {n} is neither passed on nor answered with 503"
+            "malformed response {n} should be neither passed on nor answered with 503"
         );
         assert!(started_at.elapsed() < Duration::from_secs(4), "the proxy waited on the malformed response");
         in_time(backend.open.subscribe().wait_for(|n| *n == 0)).await.expect("open");
     }
     assert_eq!(proxy.call("once").await, (200, "good".into()));
-    assert_eq!(backend.requests.load(SeqCst), count + 1, "no request was retried");
+    assert_eq!(backend.requests.load(SeqCst), count + 1, "no request should be retried");
 }
 
 /// Guards against taking bytes that follow a complete response for the response to the next request, whether
@@ -757,8 +788,7 @@
     let discovery = Discovery::start(vec![line("old", a.addr, "SERVING")]).await;
     let proxy = Proxy::wait_until_applied(&discovery, settings()).await;
     assert_eq!(proxy.call("once").await.0, 200);
-    // When: a new backend replaces the old one at the same address. Then: it does not get the old
-    // connections.
+    // When: a new backend replaces the old one at the same address. Then: it gets a connection of its own.
     discovery.publish(vec![line("new", a.addr, "SERVING"), line("old", a.addr, "DRAINING")]).await;
     a.all_closed().await;
     assert_eq!(proxy.call("once").await.0, 200);
@@ -779,7 +809,9 @@
     let ready_request = || {
         hyper::Request::get("/health/ready").header("host", "p").body(Full::default()).expect("well formed")
     };
+    // Given: a list without a valid entry. Then: the proxy is not ready.
     assert_eq!(proxy.client().await.send(ready_request()).await.0, 503);
+    // When: the list gets a valid entry. Then: the proxy is ready and serves.
     discovery.publish(vec![malformed, a.line("SERVING"), serde_json::json!("?")]).await;
     assert_eq!(proxy.client().await.send(ready_request()).await.0, 200);
     assert_eq!(proxy.call("look").await, (200, "a".into()));
@@ -823,6 +855,7 @@
     config["limits"]["sockets"] = 64.into();
     let proxy = Proxy::start_as(&config, "exec \"$0\"").await;
     discovery.wait_until_applied().await;
+    // Given: clients that have sent a part of their heads.
     let (mut sending, mut idle) = (Vec::new(), Vec::new());
     for number in 0..4 {
         let mut stream = in_time(TcpStream::connect(proxy.addr)).await.expect("the proxy listens");
@@ -832,11 +865,13 @@
         stream.write_all(first.as_bytes()).await.expect("open");
         sending.push((stream, last.to_string()));
     }
+    // When: more other clients connect than there is room for.
     for _ in 0..60 {
         let mut client = proxy.client().await;
         assert_eq!(client.call("look").await.0, 200);
         idle.push(client);
     }
+    // Then: the first ones are served once they have sent the rest.
     for (stream, last) in &mut sending {
         stream.write_all(last.as_bytes()).await.expect("open");
         let mut answer = String::new();
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -63,7 +63,9 @@
 #[tokio::test]
 async fn added_tenant_is_served_until_it_is_removed() {
     let mut fixture = start_fixture().await;
+    // Given: a configuration without the tenant.
     assert_eq!(status_for_tenant(&fixture.proxy, "zenith").await, 400);
+    // When: the tenant is added.
     let log_line = fixture
         .reload_with(|config| tenants(config).insert(0, json!({"name": "zenith", "quotaPerS": 5.0})))
         .await;
@@ -72,6 +74,7 @@
         (status_for_tenant(&fixture.proxy, "zenith").await, status_for_tenant(&fixture.proxy, "acme").await),
         (200, 200)
     );
+    // When: the tenant is removed.
     fixture.reload_with(|config| drop(tenants(config).remove(0))).await;
     assert_eq!(
         (status_for_tenant(&fixture.proxy, "zenith").await, status_for_tenant(&fixture.proxy, "acme").await),
@@ -82,17 +85,19 @@
 #[tokio::test]
 async fn removed_class_is_unknown_but_open_requests_finish() {
     let mut fixture = start_fixture().await;
+    // Given: an open request of a class.
     let (release, mut client) = (Arc::new(Notify::new()), fixture.proxy.client().await);
     fixture.script.give([BackendBehavior::Hold(release.clone())]);
     let held_call = tokio::spawn(async move { client.call("look").await });
     fixture.script.wait_for_requests(1).await;
     let unknown = fixture.proxy.call("unheard").await;
-    // The index of the other classes changes.
+    // When: the class is removed, which changes the index of the others. Then: only the others are served.
     fixture.reload_with(|config| drop(classes(config).remove(0))).await;
     assert_eq!(fixture.proxy.call("look").await, unknown);
     for class in ["keep", "once"] {
         assert_eq!(fixture.proxy.call(class).await, (200, "a".into()));
     }
+    // Then: the open request is served as well.
     release.notify_one();
     assert_eq!(held_call.await.expect("no panic"), (200, "a".into()));
     fixture.reload_with(|config| classes(config).push(settings()["classes"][0].clone())).await;
@@ -122,6 +127,7 @@
                 }
             }
         });
+        // Given: a request in flight at a backend that does not answer.
         let b = Backend::start("b", &script).await;
         let discovery = Discovery::start(vec![line("silent", addr, "SERVING")]).await;
         let mut config = discovery.config(settings());
@@ -130,12 +136,14 @@
         let held_call = tokio::spawn(async move { client.call(class).await });
         in_time(arrived.wait_for(|n| *n == 1)).await.expect("open");
         discovery.publish(vec![line("silent", addr, "DRAINING"), b.line("SERVING")]).await;
+        // When: a reload changes the semantics of its class, and then its attempt fails.
         let class_index = if class == "look" { 0 } else { 2 };
         assert_eq!(config["settings"]["classes"][class_index]["semantics"], before);
         config["settings"]["classes"][class_index]["semantics"] = after.into();
         config["listen"] = "127.0.0.1:0".into();
         proxy.reload(&config.to_string(), "configuration applied").await;
         break_connection.send_replace(true);
+        // Then: the request is retried, or not, by the semantics at its arrival.
         assert_eq!(held_call.await.expect("no panic").0, status, "received as {before}");
         assert_eq!(1 + script.requests_at("b"), attempts, "received as {before}");
     }
@@ -238,10 +246,12 @@
 #[tokio::test]
 async fn connections_survive_a_reload() {
     let mut fixture = start_fixture().await;
+    // Given: connections to a client, a backend and discovery.
     let mut client = fixture.proxy.client().await;
     assert_eq!(client.call("look").await.0, 200);
     let mut backends = fixture.a.open.subscribe();
     backends.mark_unchanged();
+    // When: the settings change many times.
     for n in 1..=20 {
         fixture
             .reload_with(|config| {
@@ -253,6 +263,7 @@
             .await;
         assert_eq!(client.call("look").await, (200, "a".into()));
     }
+    // Then: no connection was closed or opened.
     fixture.discovery.publish(vec![fixture.a.line("SERVING")]).await;
     assert!(!backends.has_changed().expect("open"));
     assert_eq!(fixture.discovery.begun.load(SeqCst), 1, "the watch was started again");
@@ -280,6 +291,7 @@
     ];
     for (status, change) in changes {
         let mut fixture = start_fixture().await;
+        // Given: a request whose head has been read.
         let mut client = TcpStream::connect(fixture.proxy.addr).await.expect("the proxy listens");
         let head = "POST /keep?k=1 HTTP/1.1\r\nHost: o\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n\
                     Idempotency-Key: 1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n";
@@ -292,9 +304,11 @@
             "{:?}",
             String::from_utf8_lossy(&received[..length])
         );
+        // When: the body follows after a reload.
         fixture.reload_with(change).await;
         client.write_all(b"body").await.expect("open");
         let length = in_time(client.read(&mut received)).await.expect("open");
+        // Then: the settings in force decide on the request.
         let answer = String::from_utf8_lossy(&received[..length]).into_owned();
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{status}: {answer}");
         assert_eq!(fixture.script.requests_at("a"), usize::from(status == 200));
@@ -306,6 +320,7 @@
 #[tokio::test]
 async fn body_is_not_read_on_once_its_class_is_removed() {
     let mut fixture = start_fixture().await;
+    // Given: a request whose head has been read.
     let mut client = TcpStream::connect(fixture.proxy.addr).await.expect("the proxy listens");
     let head = "POST /keep?k=1 HTTP/1.1\r\nHost: o\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n\
                 Idempotency-Key: 1\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -314,11 +329,13 @@
     let mut received = [0; 1024];
     let length = in_time(client.read(&mut received)).await.expect("open");
     assert!(received[..length].starts_with(b"HTTP/1.1 100"));
+    // When: a reload removes its class, and more of the body follows than is buffered.
     fixture.reload_with(|config| drop(classes(config).remove(1))).await;
     let mut chunk = b"14000\r\n".to_vec();
     chunk.extend([b'x'; 0x14000]);
     chunk.extend(b"\r\n");
     client.write_all(&chunk).await.expect("open");
+    // Then: the request is rejected, and its connection ends.
     let length = in_time(client.read(&mut received)).await.expect("open");
     assert!(received[..length].starts_with(b"HTTP/1.1 404"));
     let next = "0\r\n\r\nGET /look HTTP/1.1\r\nHost: o\r\nReq-Id: 2\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n\r\n";
--- a/crates/proxy/tests/reload_faults.rs
+++ b/crates/proxy/tests/reload_faults.rs
@@ -72,10 +72,12 @@
         let mut fixture = start_fixture().await;
         let text = fixture.config.to_string();
         let written_bytes = (text.len() as f64 * written_fraction) as usize;
+        // When: SIGHUP arrives before the whole file is written.
         let signalled_at = Instant::now();
         fixture.proxy.reload(&text[..written_bytes], "configuration rejected").await;
         sleep(FAULT_DURATION).await;
         std::fs::write(&fixture.proxy.config, &text).expect("the file is written");
+        // Then: the new discovery address is in use in time.
         fixture
             .assert_drain_is_respected(signalled_at, &format!("{written_bytes} bytes of {}", text.len()))
             .await;
@@ -88,12 +90,15 @@
 async fn discovery_move_is_applied_after_a_read_error() {
     for error in [Errno::ENFILE, Errno::EMFILE, Errno::EIO, Errno::ENOMEM, Errno::EACCES] {
         let mut fixture = start_fixture().await;
+        // Given: a new configuration that cannot be read.
         fixture.failing_calls.fail("open", error);
         std::fs::write(&fixture.proxy.config, fixture.config.to_string()).expect("the file is written");
+        // When: SIGHUP arrives before it is readable again.
         let signalled_at = Instant::now();
         fixture.proxy.reload_as_it_is("configuration rejected").await;
         sleep(FAULT_DURATION).await;
         fixture.failing_calls.succeed();
+        // Then: the new discovery address is in use in time.
         fixture.assert_drain_is_respected(signalled_at, &error.to_string()).await;
     }
 }
@@ -103,10 +108,12 @@
 async fn discovery_move_is_applied_after_a_missing_file() {
     let mut fixture = start_fixture().await;
     std::fs::remove_file(&fixture.proxy.config).expect("the file exists");
+    // When: SIGHUP arrives before the new file exists.
     let signalled_at = Instant::now();
     fixture.proxy.reload_as_it_is("configuration rejected").await;
     sleep(FAULT_DURATION).await;
     std::fs::write(&fixture.proxy.config, fixture.config.to_string()).expect("the file is written");
+    // Then: the new discovery address is in use in time.
     fixture.assert_drain_is_respected(signalled_at, "missing").await;
 }
 
@@ -116,9 +123,11 @@
     const BROKEN_DURATION: Duration = Duration::from_secs(2);
     let mut fixture = start_fixture().await;
     let text = fixture.config.to_string();
+    // When: the file stays incomplete for some time after SIGHUP.
     fixture.proxy.reload(&text[..text.len() / 2], "configuration rejected").await;
     sleep(BROKEN_DURATION).await;
     std::fs::write(&fixture.proxy.config, &text).expect("the file is written");
+    // Then: no further rejection is logged until the file is complete and applied.
     let log = fixture.proxy.log.as_mut().expect("the log is not taken");
     loop {
         let line = in_time(log.next_line()).await.expect("readable").expect("the log goes on");
--- a/crates/proxy/tests/restart.rs
+++ b/crates/proxy/tests/restart.rs
@@ -44,11 +44,13 @@
     ] {
         let script = Arc::new(BackendScript::default());
         let (a, b) = (Backend::start("a", &script).await, Backend::start("b", &script).await);
+        // Given: an outage of discovery, and a known list that is outdated.
         let refusing_addr =
             TcpStream::connect(a.addr).await.expect("the backend listens").local_addr().expect("bound");
         let stale = [line("gone", refusing_addr, "SERVING"), a.line("SERVING")];
         let discovery = Discovery::start(vec![b.line("SERVING")]).await;
         discovery.set(outage).await;
+        // When: the proxy starts. Then: it is ready and serves.
         let proxy = Proxy::start_as(&config(&discovery, mode, Some(&stale)), "exec \"$0\"").await;
         assert!(is_ready(&proxy).await, "{mode}");
         let mut calls = JoinSet::new();
@@ -59,6 +61,7 @@
         while let Some(answer) = calls.join_next().await {
             assert_eq!(answer.expect("no panic"), (200, "a".into()));
         }
+        // When: discovery answers again. Then: its list applies.
         discovery.set(DiscoveryBehavior::Up).await;
         discovery.wait_until_applied().await;
         assert!(is_ready(&proxy).await);
@@ -76,8 +79,10 @@
         let a = Backend::start("a", &script).await;
         let discovery = Discovery::start(vec![a.line("SERVING")]).await;
         discovery.set(outage).await;
+        // When: the proxy starts during an outage of discovery. Then: it is not ready.
         let proxy = Proxy::start_as(&config(&discovery, mode, None), "exec \"$0\"").await;
         assert!(!is_ready(&proxy).await, "{mode}");
+        // When: discovery answers again. Then: the proxy is ready and serves.
         discovery.set(DiscoveryBehavior::Up).await;
         discovery.wait_until_applied().await;
         assert!(is_ready(&proxy).await, "{mode}");
--- a/crates/proxy/tests/start_faults.rs
+++ b/crates/proxy/tests/start_faults.rs
@@ -23,10 +23,12 @@
 async fn start_retries_an_unreadable_configuration() {
     for error in [Errno::ENFILE, Errno::EIO, Errno::ENOENT] {
         let (_script, _a, discovery, config) = start_fixture().await;
+        // Given: a proxy that cannot read its configuration.
         let failing_calls = FailingCalls::none();
         failing_calls.fail("open", error);
         let mut starting = StartingProxy::spawn(&config, &failing_calls.command());
         starting.logged("read again").await;
+        // When: the configuration becomes readable. Then: the proxy starts and serves.
         failing_calls.succeed();
         let proxy = starting.listening().await;
         discovery.wait_until_applied().await;
@@ -39,10 +41,12 @@
 async fn start_retries_addresses_that_cannot_be_bound() {
     for error in [Errno::EADDRINUSE, Errno::ENOBUFS, Errno::ENOMEM] {
         let (_script, _a, discovery, config) = start_fixture().await;
+        // Given: a proxy that cannot bind its addresses.
         let failing_calls = FailingCalls::none();
         failing_calls.fail("bind", error);
         let mut starting = StartingProxy::spawn(&config, &failing_calls.command());
         starting.logged("bound again").await;
+        // When: the addresses become available. Then: the proxy starts and serves.
         failing_calls.succeed();
         let proxy = starting.listening().await;
         discovery.wait_until_applied().await;
@@ -54,10 +58,12 @@
 #[tokio::test]
 async fn sighup_during_the_start_does_not_end_the_process() {
     let (_script, _a, discovery, config) = start_fixture().await;
+    // Given: a proxy that is still starting.
     let failing_calls = FailingCalls::none();
     failing_calls.fail("open", Errno::EIO);
     let mut starting = StartingProxy::spawn(&config, &failing_calls.command());
     starting.logged("read again").await;
+    // When: it gets a SIGHUP. Then: it starts and serves.
     starting.kill("-HUP").await;
     failing_calls.succeed();
     let proxy = starting.listening().await;
--- a/crates/proxy/tests/upgrade_limits.rs
+++ b/crates/proxy/tests/upgrade_limits.rs
@@ -118,7 +118,9 @@
 #[tokio::test]
 async fn descriptors_are_shared_with_a_starting_process() {
     let fixture = Fixture::new().await;
+    // When: a new process starts.
     let new = fixture.start_new_process().await;
+    // Then: both stay within the limit, and the old one frees half of its descriptors.
     let watched_until = Instant::now() + WATCH_DURATION;
     while Instant::now() < watched_until {
         let held = fixture.old_descriptors() + new.descriptors();
@@ -132,8 +134,10 @@
 #[tokio::test]
 async fn descriptors_return_when_the_starting_process_ends() {
     let mut fixture = Fixture::new().await;
+    // Given: an old process that has freed half of its descriptors for a new one.
     let mut new = fixture.start_new_process().await;
     fixture.wait_until_old_holds(|held| held <= DESCRIPTOR_LIMIT / 2).await;
+    // When: the new process ends. Then: the old one uses the freed descriptors again.
     new.child.kill().await.expect("the process runs");
     in_time(fixture.fill_with_connections()).await;
 }
@@ -143,8 +147,10 @@
 #[tokio::test]
 async fn shutdown_before_the_new_process_serves_keeps_serving() {
     let mut fixture = Fixture::new().await;
+    // Given: a new process that has no endpoint list.
     let _new = fixture.start_new_process().await;
     fixture.wait_until_old_holds(|held| held <= DESCRIPTOR_LIMIT / 2).await;
+    // When: the old process gets a SIGTERM. Then: it serves until it ends.
     fixture.old.terminate().await;
     assert_eq!(fixture.old.call("look").await.0, 200);
     assert!(fixture.old.ended().await.success());
