--- a/crates/scale-test/examples/simulated.rs
+++ b/crates/scale-test/examples/simulated.rs
@@ -17,43 +17,48 @@
     }
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios/target.toml");
     let mut scenario = Scenario::load(path.as_ref())?;
-    for (name, figure) in [("EVENT_S", &mut scenario.run.event_s), ("STEADY_S", &mut scenario.run.steady_s)] {
+    for (name, value) in [("EVENT_S", &mut scenario.run.event_s), ("STEADY_S", &mut scenario.run.steady_s)] {
         if let Ok(seconds) = std::env::var(name) {
-            *figure = seconds.parse()?;
+            *value = seconds.parse()?;
         }
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let report = simulated::run_events(&scenario, size, seed, &events)?;
-    let took = begun.elapsed().as_secs_f64();
+    let elapsed_s = started.elapsed().as_secs_f64();
     println!(
-        "size {size} seed {seed}: {} proxies, {:.0} virtual s in {took:.1} s, decisions {:016x}",
+        "size {size} seed {seed}: {} proxies, {:.0} virtual s in {elapsed_s:.1} s, decisions {:016x}",
         report.proxies, report.played_s, report.decisions
     );
-    for e in &report.events {
-        println!("{}", e.name);
-        for (name, p) in [("before", &e.before), ("during", &e.during), ("after", &e.after)] {
-            let attempts: u64 = p.hops.iter().map(|h| h.attempts).sum();
-            let calls: u64 = p.hops.iter().map(|h| h.calls).sum();
-            let factors: Vec<String> = p.hops.iter().map(|h| format!("{:.3}", h.factor())).collect();
+    for event in &report.events {
+        println!("{}", event.name);
+        for (name, part) in [("before", &event.before), ("during", &event.during), ("after", &event.after)] {
+            let attempts: u64 = part.hops.iter().map(|h| h.attempts).sum();
+            let calls: u64 = part.hops.iter().map(|h| h.calls).sum();
+            let factors: Vec<String> = part.hops.iter().map(|h| format!("{:.3}", h.factor())).collect();
             println!(
                 "  {name:6} share {:.4} requests {} calls/s {:.0} attempts/call {:.4} messages {} entries {}",
-                p.worth.share(),
-                p.worth.requests,
-                calls as f64 / p.seconds,
+                part.worth.share(),
+                part.worth.requests,
+                calls as f64 / part.seconds,
                 attempts as f64 / calls as f64,
-                p.control.messages,
-                p.control.entries,
+                part.control.messages,
+                part.control.entries,
             );
             println!("         factor by hop {}", factors.join(" "));
-            println!("         {:?}", p.worth);
-            println!("         {:?}", p.module);
+            println!("         {:?}", part.worth);
+            println!("         {:?}", part.module);
         }
-        let windows: Vec<String> = e.windows.iter().map(|w| format!("{:.3}", w.share())).collect();
+        let windows: Vec<String> = event.windows.iter().map(|w| format!("{:.3}", w.share())).collect();
         println!("  windows {}", windows.join(" "));
-        println!("  lost s of full service: during {:.3}, after {:.3}", e.lost_s[0], e.lost_s[1]);
-        let connects = |p: &simulated::Part| p.hops.iter().map(|h| h.connects).sum::<u64>();
-        println!("  new connections {} {} {}", connects(&e.before), connects(&e.during), connects(&e.after));
-        println!("  in force {:?}, not yet {}", e.in_force, e.not_in_force);
+        println!("  lost s of full service: during {:.3}, after {:.3}", event.lost_s[0], event.lost_s[1]);
+        let connects = |part: &simulated::Part| part.hops.iter().map(|h| h.connects).sum::<u64>();
+        println!(
+            "  new connections {} {} {}",
+            connects(&event.before),
+            connects(&event.during),
+            connects(&event.after)
+        );
+        println!("  in force {:?}, not yet {}", event.in_force, event.not_in_force);
     }
     println!("{:?}", report.checks);
     Ok(())
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -29,18 +29,18 @@
 /// The least-squares line through (size, measure); none for fewer than two sizes or what is not finite.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
     let n = points.len() as f64;
-    let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
-    let (x, y) = (mean(|p| p.0), mean(|p| p.1));
-    let xx: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    let xy: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-    if !(xx > 0.0 && xx.is_finite() && xy.is_finite()) {
+    let mean = |coordinate: fn(&(f64, f64)) -> f64| points.iter().map(coordinate).sum::<f64>() / n;
+    let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
+    let sum_xx: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    let sum_xy: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    if !(sum_xx > 0.0 && sum_xx.is_finite() && sum_xy.is_finite()) {
         return None;
     }
-    let slope = xy / xx;
-    let intercept = y - slope * x;
-    let rest: f64 = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum();
-    let residual = if points.len() > 2 { (rest / (n - 2.0)).sqrt() } else { 0.0 };
-    let slope_error = residual / xx.sqrt();
-    let intercept_error = residual * (1.0 / n + x * x / xx).sqrt();
+    let slope = sum_xy / sum_xx;
+    let intercept = mean_y - slope * mean_x;
+    let squared_residuals: f64 = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum();
+    let residual = if points.len() > 2 { (squared_residuals / (n - 2.0)).sqrt() } else { 0.0 };
+    let slope_error = residual / sum_xx.sqrt();
+    let intercept_error = residual * (1.0 / n + mean_x * mean_x / sum_xx).sqrt();
     Some(Line { slope, intercept, slope_error, intercept_error, residual, points: points.len() })
 }
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -188,41 +188,41 @@
 
 /// Why a scenario was rejected: one line that names the key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Invalid(String);
+pub struct ScenarioError(String);
 
-impl fmt::Display for Invalid {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Invalid {}
+impl std::error::Error for ScenarioError {}
 
-impl Invalid {
+impl ScenarioError {
     /// What another part rejected.
-    pub fn of(e: impl fmt::Display) -> Self {
-        Invalid(e.to_string())
+    pub fn new(e: impl fmt::Display) -> Self {
+        ScenarioError(e.to_string())
     }
 }
 
 impl Scenario {
     /// Reads a file.
-    pub fn load(path: &Path) -> Result<Self, Invalid> {
-        let invalid = |e: &dyn fmt::Display| Invalid(format!("scenario {}: {e}", path.display()));
-        let text = std::fs::read_to_string(path).map_err(|e| invalid(&e))?;
-        Scenario::parse(&text).map_err(|e| invalid(&e))
+    pub fn load(path: &Path) -> Result<Self, ScenarioError> {
+        let error_in_file = |e: &dyn fmt::Display| ScenarioError(format!("scenario {}: {e}", path.display()));
+        let text = std::fs::read_to_string(path).map_err(|e| error_in_file(&e))?;
+        Scenario::parse(&text).map_err(|e| error_in_file(&e))
     }
 
     /// Reads the text of a file; an error names the key, or the line of what is no TOML.
-    pub fn parse(text: &str) -> Result<Self, Invalid> {
+    pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let one_line = |e: toml::de::Error| e.message().replace('\n', " ");
-        let toml = toml::Deserializer::parse(text).map_err(|e| {
+        let deserializer = toml::Deserializer::parse(text).map_err(|e| {
             let line = e.span().map_or(0, |s| text[..s.start].matches('\n').count()) + 1;
-            Invalid(format!("line {line}: {}", one_line(e)))
+            ScenarioError(format!("line {line}: {}", one_line(e)))
         })?;
-        let scenario: Scenario = serde_path_to_error::deserialize(toml).map_err(|e| {
+        let scenario: Scenario = serde_path_to_error::deserialize(deserializer).map_err(|e| {
             let key = e.path().to_string();
-            Invalid(format!("{key}: {}", one_line(e.into_inner())))
+            ScenarioError(format!("{key}: {}", one_line(e.into_inner())))
         })?;
         scenario.check()?;
         Ok(scenario)
@@ -251,16 +251,16 @@
         instance_count: u32,
         tier: u32,
         zone: u16,
-    ) -> Result<ResolvedSettings, Invalid> {
+    ) -> Result<ResolvedSettings, ScenarioError> {
         settings_format::read(self.settings_of(instance_index, instance_count, tier, zone))
-            .map_err(|error| Invalid(error.to_string()))
+            .map_err(|error| ScenarioError(error.to_string()))
     }
 
     /// A figure of the settings that the balancer doesn't get, as of `classes`; 0 where it is left out.
-    pub fn of_classes(&self, key: &str) -> Vec<f64> {
+    pub fn class_values(&self, key: &str) -> Vec<f64> {
         let classes = self.settings.get("classes").and_then(Value::as_array);
-        let figure = |class: &Value| class.get(key).and_then(Value::as_f64).unwrap_or(0.0);
-        classes.map(|c| c.iter().map(figure).collect()).unwrap_or_default()
+        let value = |class: &Value| class.get(key).and_then(Value::as_f64).unwrap_or(0.0);
+        classes.map(|c| c.iter().map(value).collect()).unwrap_or_default()
     }
 
     /// The same of `guarantees`.
--- a/crates/scale-test/src/simulated/event_queue.rs
+++ b/crates/scale-test/src/simulated/event_queue.rs
@@ -26,7 +26,7 @@
     /// By then the request must have its final answer.
     FinalAnswerDue { request: RequestId },
     /// Discovery takes notice of a backend as it is now; changed at `since`.
-    EndpointPublished { backend: usize, since: f64 },
+    EndpointPublished { backend: usize, changed_at_ms: f64 },
     /// A change comes to a proxy.
     ChangeDelivered { instance: usize, change: usize },
     /// A full list comes to a proxy.
@@ -39,29 +39,29 @@
 #[derive(Debug, Clone, Copy)]
 pub enum ScenarioStep {
     /// Another part of the report begins.
-    Part(usize),
+    BeginPart(usize),
     /// A change of configuration: a backend's weight.
-    Change,
+    ChangeWeight,
     /// A backend is drained and restarted.
-    Restart { backend: Option<usize> },
+    RestartBackend { backend: Option<usize> },
     /// A backend's process ends.
-    Stop { backend: usize },
+    StopBackend { backend: usize },
     /// It is back, warming up.
-    Start { backend: usize },
+    StartBackend { backend: usize },
     /// A machine becomes unresponsive, proxy and backend, and comes back after so many ms.
-    LoseMachine { backend: Option<usize>, back: f64 },
+    FailMachine { backend: Option<usize>, outage_ms: f64 },
     /// A machine is back.
-    MachineBack { backend: usize },
+    RecoverMachine { backend: usize },
     /// A zone becomes unresponsive, or is back.
-    Zone { zone: u16, on: bool },
+    SetZone { zone: u16, is_up: bool },
     /// Regions lose each other, or are joined again.
-    Cut { on: bool },
+    SetRegionPartition { is_partitioned: bool },
     /// Every proxy gets the full list.
     Resync,
     /// Discovery is down, or back.
-    Discovery { on: bool },
+    SetDiscovery { is_up: bool },
     /// A proxy is replaced by a new process.
-    Replace { proxy: usize },
+    ReplaceProxy { proxy: usize },
 }
 
 struct QueuedEvent {
@@ -97,7 +97,7 @@
 pub struct EventQueue {
     near: BinaryHeap<QueuedEvent>,
     /// The slice up to which all is in `near`.
-    sorted: u64,
+    near_slice: u64,
     far: BTreeMap<u64, Vec<QueuedEvent>>,
     last_sequence: u64,
 }
@@ -108,7 +108,7 @@
         self.last_sequence += 1;
         let entry = QueuedEvent { at_ms, sequence: self.last_sequence, event };
         let slice = (at_ms / SLICE_MS) as u64;
-        if slice <= self.sorted {
+        if slice <= self.near_slice {
             self.near.push(entry);
         } else {
             self.far.entry(slice).or_default().push(entry);
@@ -118,7 +118,7 @@
     pub fn pop_before(&mut self, end_ms: f64) -> Option<(f64, SimulationEvent)> {
         while self.near.is_empty() {
             let (slice, entries) = self.far.pop_first()?;
-            self.sorted = slice;
+            self.near_slice = slice;
             self.near = entries.into();
         }
         if self.near.peek()?.at_ms >= end_ms {
--- a/crates/scale-test/src/simulated/fleet/backend_work.rs
+++ b/crates/scale-test/src/simulated/fleet/backend_work.rs
@@ -8,60 +8,66 @@
 
 impl Fleet<'_> {
     pub(super) fn receive_attempt(&mut self, id: RequestId, attempt: usize) {
-        let now = self.now;
+        let now_ms = self.now_ms;
         let Some(request) = self.requests.get_mut(id) else { return };
         let entry = &mut request.attempts[attempt];
-        let (to, told) = (entry.backend, entry.knows_start);
+        let (target, knows_start) = (entry.backend, entry.knows_start);
         if entry.stage != AttemptStage::InTransit {
             return;
         }
         entry.stage = AttemptStage::Finished;
-        let backend = &mut self.backends[to];
+        let backend = &mut self.backends[target];
         if backend.is_down {
             if !backend.is_unresponsive {
                 self.send_outcome(id, attempt, Outcome::Reset);
             }
-            return self.forget_if_over(id);
+            return self.remove_if_finished(id);
         }
-        let fell = backend.record_arrival(
-            now,
-            told,
+        let is_overloaded = backend.record_arrival(
+            now_ms,
+            knows_start,
             &self.scenario.backend,
             self.metrics.warm_up_rule,
             &mut self.checks,
         );
-        if fell {
-            self.stop_backend(to, false);
-            let back = self.scenario.backend.fall_s * 1000.0;
-            self.event_queue.schedule(now + back, SimulationEvent::Step(ScenarioStep::Start { backend: to }));
+        if is_overloaded {
+            self.stop_backend(target, false);
+            let outage_ms = self.scenario.backend.fall_s * 1000.0;
+            self.event_queue.schedule(
+                now_ms + outage_ms,
+                SimulationEvent::Step(ScenarioStep::StartBackend { backend: target }),
+            );
             self.send_outcome(id, attempt, Outcome::Reset);
-            return self.forget_if_over(id);
+            return self.remove_if_finished(id);
         }
-        let backend = &mut self.backends[to];
-        if backend.busy >= self.scenario.backend.slots && backend.queue.len() >= self.scenario.backend.queue {
+        let backend = &mut self.backends[target];
+        if backend.busy_slots >= self.scenario.backend.slots
+            && backend.queue.len() >= self.scenario.backend.queue
+        {
             self.send_outcome(id, attempt, Outcome::Full);
-            return self.forget_if_over(id);
+            return self.remove_if_finished(id);
         }
-        backend.jobs.insert((id, attempt));
+        backend.active_attempts.insert((id, attempt));
         backend.queue.push_back((id, attempt));
         if let Some(request) = self.requests.get_mut(id) {
             request.attempts[attempt].stage = AttemptStage::Queued;
         }
-        self.start_queued_work(to);
+        self.start_queued_work(target);
     }
 
     /// A backend begins what waits there, while it has capacity.
-    fn start_queued_work(&mut self, at: usize) {
-        let cold = self.scenario.backend.work_ms;
-        while self.backends[at].busy < self.scenario.backend.slots {
-            let Some((id, attempt)) = self.backends[at].queue.pop_front() else { return };
-            let capacity_fraction = self.backends[at].capacity_fraction(self.now, &self.scenario.backend);
-            let work: f64 = self.rng.sample(rand_distr::Exp1);
+    fn start_queued_work(&mut self, target: usize) {
+        let work_ms = self.scenario.backend.work_ms;
+        while self.backends[target].busy_slots < self.scenario.backend.slots {
+            let Some((id, attempt)) = self.backends[target].queue.pop_front() else { return };
+            let capacity_fraction =
+                self.backends[target].capacity_fraction(self.now_ms, &self.scenario.backend);
+            let work_factor: f64 = self.rng.sample(rand_distr::Exp1);
             let Some(request) = self.requests.get_mut(id) else { continue };
             request.attempts[attempt].stage = AttemptStage::Processing;
-            self.backends[at].busy += 1;
+            self.backends[target].busy_slots += 1;
             self.event_queue.schedule(
-                self.now + work * cold / capacity_fraction,
+                self.now_ms + work_factor * work_ms / capacity_fraction,
                 SimulationEvent::WorkFinished { request: id, attempt },
             );
         }
@@ -73,14 +79,14 @@
         if entry.stage != AttemptStage::Processing {
             return;
         }
-        let (to, depth, class, created_ms) =
+        let (target, depth, class, created_ms) =
             (entry.backend, request.depth + 1, request.class, request.created_ms);
         let deadline_ms = request.deadline_ms - self.scenario.calls.reserve_ms;
-        self.backends[to].busy -= 1;
-        let calls = self.topology.callees[self.backends[to].service].is_some();
-        let onward = calls && self.rng.random::<f64>() < self.scenario.calls.onward_share;
-        if onward && deadline_ms > self.now {
-            let instance = self.proxies[to].instance;
+        self.backends[target].busy_slots -= 1;
+        let has_callee = self.topology.callees[self.backends[target].service].is_some();
+        let calls_onward = has_callee && self.rng.random::<f64>() < self.scenario.calls.onward_share;
+        if calls_onward && deadline_ms > self.now_ms {
+            let instance = self.proxies[target].instance;
             // The child is known before its balancer answers, for that may be at once.
             let child = self.requests.next_id();
             self.set_stage(id, attempt, AttemptStage::WaitingForChild(child));
@@ -98,9 +104,9 @@
                 attempts,
             });
         } else {
-            self.finish_attempt(id, attempt, if onward { Outcome::Error } else { Outcome::Ok });
+            self.finish_attempt(id, attempt, if calls_onward { Outcome::Error } else { Outcome::Ok });
         }
-        self.start_queued_work(to);
+        self.start_queued_work(target);
     }
 
     pub(super) fn set_stage(&mut self, id: RequestId, attempt: usize, stage: AttemptStage) {
@@ -124,14 +130,14 @@
     fn finish_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         self.remove_job(id, attempt);
         self.send_outcome(id, attempt, outcome);
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
     fn remove_job(&mut self, id: RequestId, attempt: usize) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.attempts[attempt].stage = AttemptStage::Finished;
-        let at = request.attempts[attempt].backend;
-        self.backends[at].jobs.remove(&(id, attempt));
+        let target = request.attempts[attempt].backend;
+        self.backends[target].active_attempts.remove(&(id, attempt));
     }
 
     /// Sends an outcome back to the proxy.
@@ -140,27 +146,29 @@
         else {
             return;
         };
-        let (from, to) =
+        let (from_zone, to_zone) =
             (self.backends[request.attempts[attempt].backend].zone, self.instances[request.instance].zone);
-        if let Some(way) = self.one_way_ms(from, to) {
-            self.event_queue
-                .schedule(self.now + way, SimulationEvent::OutcomeArrived { request: id, attempt, outcome });
+        if let Some(delay_ms) = self.one_way_delay_ms(from_zone, to_zone) {
+            self.event_queue.schedule(
+                self.now_ms + delay_ms,
+                SimulationEvent::OutcomeArrived { request: id, attempt, outcome },
+            );
         }
     }
 
     pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: usize) {
         let Some(request) = self.requests.get(id) else { return };
-        let (at, stage) = (request.attempts[attempt].backend, request.attempts[attempt].stage);
+        let (target, stage) = (request.attempts[attempt].backend, request.attempts[attempt].stage);
         match stage {
             AttemptStage::Finished => return,
             AttemptStage::InTransit => {}
-            AttemptStage::Queued => self.backends[at].queue.retain(|&j| j != (id, attempt)),
-            AttemptStage::Processing => self.backends[at].busy -= 1,
+            AttemptStage::Queued => self.backends[target].queue.retain(|&j| j != (id, attempt)),
+            AttemptStage::Processing => self.backends[target].busy_slots -= 1,
             AttemptStage::WaitingForChild(child) => self.cancel_request(child),
         }
         self.remove_job(id, attempt);
-        self.forget_if_over(id);
-        self.start_queued_work(at);
+        self.remove_if_finished(id);
+        self.start_queued_work(target);
     }
 
     pub(super) fn cancel_request(&mut self, id: RequestId) {
@@ -171,6 +179,6 @@
         if self.instances[instance].is_alive {
             self.notify_balancer(instance, Event::ClientDisconnected { request: id });
         }
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 }
--- a/crates/scale-test/src/simulated/fleet/discovery.rs
+++ b/crates/scale-test/src/simulated/fleet/discovery.rs
@@ -9,40 +9,50 @@
 
 impl Fleet<'_> {
     /// Discovery will take notice of what has just happened to a backend.
-    pub(super) fn schedule_publication(&mut self, backend: usize, after: f64) {
-        self.event_queue
-            .schedule(self.now + after, SimulationEvent::EndpointPublished { backend, since: self.now });
+    pub(super) fn schedule_publication(&mut self, backend: usize, delay_ms: f64) {
+        self.event_queue.schedule(
+            self.now_ms + delay_ms,
+            SimulationEvent::EndpointPublished { backend, changed_at_ms: self.now_ms },
+        );
     }
 
     /// Discovery takes notice of a backend as it is now, and the change goes out to those who follow it.
-    pub(super) fn publish(&mut self, backend: usize, since: f64) {
-        let state = &self.backends[backend];
-        let phase = match (state.is_down && state.is_unresponsive, state.is_draining || state.is_down) {
+    pub(super) fn publish(&mut self, backend: usize, changed_at_ms: f64) {
+        let backend_state = &self.backends[backend];
+        let phase = match (
+            backend_state.is_down && backend_state.is_unresponsive,
+            backend_state.is_draining || backend_state.is_down,
+        ) {
             (true, _) => Phase::Gone,
             (_, true) => Phase::Draining,
             _ => Phase::Ready,
         };
-        let old = &self.endpoint_log.published[backend];
-        let entry =
-            EndpointInfo { phase, weight: state.weight, started_at_ms: state.started_at_ms, ..old.clone() };
-        if entry == *old {
+        let previous = &self.endpoint_log.published[backend];
+        let entry = EndpointInfo {
+            phase,
+            weight: backend_state.weight,
+            started_at_ms: backend_state.started_at_ms,
+            ..previous.clone()
+        };
+        if entry == *previous {
             return;
         }
         self.endpoint_log.published[backend] = entry.clone();
-        let (service, zone, change) = (state.service, state.zone, self.endpoint_log.changes.len());
+        let (service, zone, change) =
+            (backend_state.service, backend_state.zone, self.endpoint_log.changes.len());
         let part = self.metrics.part_index();
-        self.endpoint_log.changes.push(Change { entry, since, missing: 0, part });
+        self.endpoint_log.changes.push(Change { entry, changed_at_ms, pending_proxies: 0, part });
         self.metrics.current_part().control.changes += 1;
         for instance in 0..self.instances.len() {
             let proxy = &self.instances[instance];
             if !proxy.follows_discovery() || proxy.service != service {
                 continue;
             }
-            self.endpoint_log.changes[change].missing += 1;
+            self.endpoint_log.changes[change].pending_proxies += 1;
             match self.discovery_delay_ms(zone, instance) {
-                Some(way) => self.schedule_delivery(
+                Some(delay_ms) => self.schedule_delivery(
                     instance,
-                    way,
+                    delay_ms,
                     SimulationEvent::ChangeDelivered { instance, change },
                 ),
                 None => self.instances[instance].missed_changes.push(change),
@@ -53,26 +63,27 @@
     /// How long a change in a zone takes to a proxy; never where they are cut off from each other.
     fn discovery_delay_ms(&mut self, zone: u16, instance: usize) -> Option<f64> {
         let discovery = &self.scenario.discovery;
-        let [least, most] = discovery.spread_ms;
-        let spread = least + (most - least) * self.rng.random::<f64>();
-        let same = self.scenario.region_of(zone) == self.scenario.region_of(self.instances[instance].zone);
-        match same {
+        let [min_ms, max_ms] = discovery.spread_ms;
+        let spread_ms = min_ms + (max_ms - min_ms) * self.rng.random::<f64>();
+        let is_same_region =
+            self.scenario.region_of(zone) == self.scenario.region_of(self.instances[instance].zone);
+        match is_same_region {
             _ if !self.is_discovery_up => None,
-            true => Some(spread),
-            false => (!self.is_region_cut).then_some(spread + discovery.region_ms),
+            true => Some(spread_ms),
+            false => (!self.are_regions_partitioned).then_some(spread_ms + discovery.region_ms),
         }
     }
 
     /// Sends a message to a proxy; none overtakes another.
-    fn schedule_delivery(&mut self, instance: usize, way: f64, what: SimulationEvent) {
+    fn schedule_delivery(&mut self, instance: usize, delay_ms: f64, event: SimulationEvent) {
         let proxy = &mut self.instances[instance];
-        proxy.last_delivery_ms = proxy.last_delivery_ms.max(self.now + way);
-        self.event_queue.schedule(proxy.last_delivery_ms, what);
+        proxy.last_delivery_ms = proxy.last_delivery_ms.max(self.now_ms + delay_ms);
+        self.event_queue.schedule(proxy.last_delivery_ms, event);
     }
 
     /// A change comes to a proxy.
     pub(super) fn deliver_change(&mut self, instance: usize, change: usize) {
-        if !self.acknowledge(instance, change) {
+        if !self.acknowledge_change(instance, change) {
             return;
         }
         let entry = self.endpoint_log.changes[change].entry.clone();
@@ -88,15 +99,15 @@
         }
         let (service, missed) = (proxy.service, std::mem::take(&mut proxy.missed_changes));
         for change in missed {
-            self.acknowledge(instance, change);
+            self.acknowledge_change(instance, change);
         }
         let entries = self.listed_endpoints(service);
-        let now = self.now;
+        let now_ms = self.now_ms;
         for (id, known) in &mut self.instances[instance].endpoints {
             let is_listed = entries.iter().any(|entry| entry.backend == *id);
             if known.phase != Phase::Gone && !is_listed {
                 known.phase = Phase::Gone;
-                known.since_ms = now;
+                known.phase_since_ms = now_ms;
             }
         }
         for entry in &entries {
@@ -127,25 +138,25 @@
 
     fn record_endpoint(&mut self, instance: usize, entry: &EndpointInfo) {
         let endpoints = &mut self.instances[instance].endpoints;
-        let since_ms = match endpoints.get(&entry.backend) {
-            Some(known) if known.phase == entry.phase => known.since_ms,
-            _ => self.now,
+        let phase_since_ms = match endpoints.get(&entry.backend) {
+            Some(known) if known.phase == entry.phase => known.phase_since_ms,
+            _ => self.now_ms,
         };
         let known = KnownEndpoint {
             phase: entry.phase,
             weight: entry.weight,
             started_at_ms: entry.started_at_ms,
-            since_ms,
+            phase_since_ms,
         };
         endpoints.insert(entry.backend, known);
     }
 
     /// A change is in force at a proxy, or its process runs no more; returns whether it is in force.
-    fn acknowledge(&mut self, instance: usize, change: usize) -> bool {
+    fn acknowledge_change(&mut self, instance: usize, change: usize) -> bool {
         let change = &mut self.endpoint_log.changes[change];
-        change.missing -= 1;
-        if change.missing == 0 {
-            self.metrics.record_in_force(change.part, self.now - change.since);
+        change.pending_proxies -= 1;
+        if change.pending_proxies == 0 {
+            self.metrics.record_in_force(change.part, self.now_ms - change.changed_at_ms);
         }
         self.instances[instance].follows_discovery()
     }
@@ -154,29 +165,29 @@
     pub(super) fn discard_missed_changes(&mut self, instance: usize) {
         let missed = std::mem::take(&mut self.instances[instance].missed_changes);
         for change in missed {
-            self.acknowledge(instance, change);
+            self.acknowledge_change(instance, change);
         }
     }
 
     /// Every proxy gets the full list, or those that missed something do.
-    pub(super) fn resync(&mut self, missed: bool) {
+    pub(super) fn resync(&mut self, only_incomplete: bool) {
         for instance in 0..self.instances.len() {
             let proxy = &self.instances[instance];
-            if proxy.follows_discovery() && (!missed || !proxy.missed_changes.is_empty()) {
-                let way = self.discovery_delay_ms(proxy.zone, instance).unwrap_or(0.0);
-                self.schedule_delivery(instance, way, SimulationEvent::FullListDelivered { instance });
+            if proxy.follows_discovery() && (!only_incomplete || !proxy.missed_changes.is_empty()) {
+                let delay_ms = self.discovery_delay_ms(proxy.zone, instance).unwrap_or(0.0);
+                self.schedule_delivery(instance, delay_ms, SimulationEvent::FullListDelivered { instance });
             }
         }
     }
 
     /// Proxies that do not hold what discovery has published for the service that they follow, and to which
     /// nothing is on its way.
-    pub fn instances_behind(&self) -> u64 {
-        let is_behind = |proxy: &&ProxyInstance| {
-            let awaits_delivery = proxy.last_delivery_ms > self.now;
+    pub fn outdated_instances(&self) -> u64 {
+        let is_outdated = |proxy: &&ProxyInstance| {
+            let awaits_delivery = proxy.last_delivery_ms > self.now_ms;
             proxy.follows_discovery() && !awaits_delivery && self.differs_from_published(proxy)
         };
-        self.instances.iter().filter(is_behind).count() as u64
+        self.instances.iter().filter(is_outdated).count() as u64
     }
 
     /// Whether a proxy holds anything else than what is published for its service.
@@ -185,20 +196,20 @@
         published.any(|(backend, entry)| {
             backend.service == proxy.service
                 && match proxy.endpoints.get(&entry.backend) {
-                    Some(known) if known.phase != Phase::Gone => !known.equals(entry),
+                    Some(known) if known.phase != Phase::Gone => !known.matches(entry),
                     _ => entry.phase != Phase::Gone,
                 }
         })
     }
 
     /// Entries that proxies cut off have lost of the regions beyond: the last valid list holds.
-    pub fn lost_while_cut(&self) -> u64 {
+    pub fn entries_lost_while_partitioned(&self) -> u64 {
         let followers = self.instances.iter().filter(|proxy| proxy.follows_discovery());
-        followers.map(|proxy| self.lost_of_other_regions(proxy)).sum()
+        followers.map(|proxy| self.count_lost_of_other_regions(proxy)).sum()
     }
 
     /// Entries of other regions that a proxy's list has lost.
-    fn lost_of_other_regions(&self, proxy: &ProxyInstance) -> u64 {
+    fn count_lost_of_other_regions(&self, proxy: &ProxyInstance) -> u64 {
         let region = self.scenario.region_of(proxy.zone);
         let mut lost = 0;
         for (backend, entry) in self.backends.iter().zip(&self.endpoint_log.published) {
--- a/crates/scale-test/src/simulated/fleet/endpoint_log.rs
+++ b/crates/scale-test/src/simulated/fleet/endpoint_log.rs
@@ -11,12 +11,12 @@
     pub weight: f64,
     pub started_at_ms: f64,
     /// Time since which it has had this phase.
-    pub since_ms: f64,
+    pub phase_since_ms: f64,
 }
 
 impl KnownEndpoint {
     /// Whether it is what the entry says.
-    pub fn equals(&self, entry: &EndpointInfo) -> bool {
+    pub fn matches(&self, entry: &EndpointInfo) -> bool {
         self.phase == entry.phase && self.weight == entry.weight && self.started_at_ms == entry.started_at_ms
     }
 }
@@ -25,9 +25,9 @@
 pub struct Change {
     pub entry: EndpointInfo,
     /// When it happened.
-    pub since: f64,
+    pub changed_at_ms: f64,
     /// Proxies to which it has still to come.
-    pub missing: usize,
+    pub pending_proxies: usize,
     /// The report's part in which it happened.
     pub part: usize,
 }
@@ -41,9 +41,9 @@
 
 impl EndpointLog {
     pub fn new(topology: &Topology) -> Self {
-        let entry = |(i, p): (usize, &Placement)| EndpointInfo {
-            backend: i as BackendId + 1,
-            zone: p.zone,
+        let entry = |(index, placement): (usize, &Placement)| EndpointInfo {
+            backend: index as BackendId + 1,
+            zone: placement.zone,
             weight: 1.0,
             ..EndpointInfo::default()
         };
@@ -54,8 +54,8 @@
     }
 
     /// Changes of some parts of the report that have not come to all their proxies.
-    pub fn unfinished_of_parts(&self, parts: RangeInclusive<usize>) -> usize {
-        let unfinished = self.changes.iter().filter(|change| change.missing > 0);
+    pub fn unfinished_in_parts(&self, parts: RangeInclusive<usize>) -> usize {
+        let unfinished = self.changes.iter().filter(|change| change.pending_proxies > 0);
         unfinished.filter(|change| parts.contains(&change.part)).count()
     }
 }
--- a/crates/scale-test/src/simulated/fleet/mod.rs
+++ b/crates/scale-test/src/simulated/fleet/mod.rs
@@ -16,9 +16,9 @@
 use super::metrics::Metrics;
 use super::report::Checks;
 use super::topology::Topology;
-use crate::scenario::{Invalid, Scenario};
+use crate::scenario::{Scenario, ScenarioError};
 use endpoint_log::EndpointLog;
-use foldhitch_balancer::api::*;
+use foldhitch_balancer::api::{Action, BackendId, Class, Event};
 use proxy::{Proxy, ProxyInstance};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -29,7 +29,7 @@
 pub struct Fleet<'a> {
     pub scenario: &'a Scenario,
     pub topology: Topology,
-    pub now: f64,
+    pub now_ms: f64,
     pub rng: StdRng,
     pub event_queue: EventQueue,
     pub instances: Vec<ProxyInstance>,
@@ -39,7 +39,7 @@
     requests: RequestTable,
     actions: Vec<Action>,
     pub endpoint_log: EndpointLog,
-    pub is_region_cut: bool,
+    pub are_regions_partitioned: bool,
     pub is_discovery_up: bool,
     pub metrics: Metrics,
     pub checks: Checks,
@@ -51,13 +51,18 @@
 
 impl<'a> Fleet<'a> {
     /// A fleet whose backends are warm and whose proxies have their lists.
-    pub fn new(scenario: &'a Scenario, size: usize, seed: u64, metrics: Metrics) -> Result<Self, Invalid> {
+    pub fn new(
+        scenario: &'a Scenario,
+        size: usize,
+        seed: u64,
+        metrics: Metrics,
+    ) -> Result<Self, ScenarioError> {
         let topology = Topology::new(scenario, size);
         let settings = scenario.resolved_settings(0, 1, 0, 0)?;
         let backends = topology.backends.iter().map(|p| Backend::new(p.zone, p.service)).collect();
         let mut fleet = Fleet {
             scenario,
-            now: 1000.0,
+            now_ms: 1000.0,
             rng: StdRng::seed_from_u64(seed),
             event_queue: EventQueue::default(),
             instances: Vec::new(),
@@ -66,12 +71,12 @@
             requests: RequestTable::new(),
             actions: Vec::new(),
             endpoint_log: EndpointLog::new(&topology),
-            is_region_cut: false,
+            are_regions_partitioned: false,
             is_discovery_up: true,
             metrics,
             checks: Checks::default(),
-            client_timeouts_ms: scenario.of_classes("giveUp"),
-            late_worth_shares: scenario.of_classes("lateWorth"),
+            client_timeouts_ms: scenario.class_values("giveUp"),
+            late_worth_shares: scenario.class_values("lateWorth"),
             classes: settings.balancer.classes,
             drain_deadline_ms: settings.site.drain_deadline_ms,
             topology,
@@ -80,50 +85,51 @@
         for proxy in 0..fleet.proxies.len() {
             fleet.start_proxy(proxy)?;
         }
-        fleet.event_queue.schedule(fleet.now, SimulationEvent::ClientArrival);
+        fleet.event_queue.schedule(fleet.now_ms, SimulationEvent::ClientArrival);
         Ok(fleet)
     }
 
     fn place_proxies(&mut self) {
-        let layer_of_clients = self.topology.entries.first().map_or(0, |e| e.service);
-        let beside = self.topology.backends.iter().map(|b| (b.zone, self.topology.callees[b.service], 1));
-        let entries = self.topology.entries.iter().map(|e| (e.zone, Some(e.service), 0));
-        let placements: Vec<(u16, Option<usize>, u32)> = beside.chain(entries).collect();
-        let proxies_of = |to: Option<usize>| placements.iter().filter(|p| p.1 == to).count() as u32;
-        let mut numbers = BTreeMap::<Option<usize>, u32>::new();
-        for &(zone, calls, tier) in &placements {
-            let number = numbers.entry(calls).or_default();
+        let entry_service = self.topology.entry_proxies.first().map_or(0, |e| e.service);
+        let sidecars = self.topology.backends.iter().map(|b| (b.zone, self.topology.callees[b.service], 1));
+        let entry_proxies = self.topology.entry_proxies.iter().map(|e| (e.zone, Some(e.service), 0));
+        let placements: Vec<(u16, Option<usize>, u32)> = sidecars.chain(entry_proxies).collect();
+        let count_callers_of =
+            |callee: Option<usize>| placements.iter().filter(|p| p.1 == callee).count() as u32;
+        let mut next_indices = BTreeMap::<Option<usize>, u32>::new();
+        for &(zone, callee, tier) in &placements {
+            let next_index = next_indices.entry(callee).or_default();
             // A proxy beside a backend that calls nobody follows a list all the same.
-            let service = calls.unwrap_or(layer_of_clients);
-            let instances = proxies_of(calls);
+            let service = callee.unwrap_or(entry_service);
+            let instance_count = count_callers_of(callee);
             self.proxies.push(Proxy {
                 instance: 0,
-                instance_index: *number,
-                instance_count: instances,
+                instance_index: *next_index,
+                instance_count,
                 tier,
                 zone,
                 service,
                 is_running: true,
             });
-            *number += 1;
+            *next_index += 1;
         }
     }
 
     /// Plays until `end`.
-    pub fn play_until(&mut self, end: f64) -> Result<(), Invalid> {
-        while let Some((at_ms, event)) = self.event_queue.pop_before(end) {
-            self.now = at_ms;
-            self.handle(event)?;
+    pub fn run_until(&mut self, end_ms: f64) -> Result<(), ScenarioError> {
+        while let Some((at_ms, event)) = self.event_queue.pop_before(end_ms) {
+            self.now_ms = at_ms;
+            self.handle_event(event)?;
         }
-        self.now = end;
+        self.now_ms = end_ms;
         Ok(())
     }
 
-    fn handle(&mut self, event: SimulationEvent) -> Result<(), Invalid> {
+    fn handle_event(&mut self, event: SimulationEvent) -> Result<(), ScenarioError> {
         match event {
-            SimulationEvent::ClientArrival => self.client_arrival(),
+            SimulationEvent::ClientArrival => self.handle_client_arrival(),
             SimulationEvent::ClientRetry { class, retries, created_ms } => {
-                self.enter(usize::from(class), retries, created_ms)
+                self.send_client_request(usize::from(class), retries, created_ms)
             }
             SimulationEvent::TimerFired { instance, token } => {
                 let proxy = &self.instances[instance];
@@ -138,13 +144,15 @@
                 self.receive_outcome(request, attempt, outcome)
             }
             SimulationEvent::AttemptCancelled { request, attempt } => self.cancel_attempt(request, attempt),
-            SimulationEvent::DeadlinePassed { request } => self.pass_deadline(request),
+            SimulationEvent::DeadlinePassed { request } => self.handle_deadline(request),
             SimulationEvent::FinalAnswerDue { request } => {
                 if self.requests.get(request).is_some_and(|request| !request.has_ended) {
                     self.checks.never_ended += 1;
                 }
             }
-            SimulationEvent::EndpointPublished { backend, since } => self.publish(backend, since),
+            SimulationEvent::EndpointPublished { backend, changed_at_ms } => {
+                self.publish(backend, changed_at_ms)
+            }
             SimulationEvent::ChangeDelivered { instance, change } => self.deliver_change(instance, change),
             SimulationEvent::FullListDelivered { instance } => self.deliver_full_list(instance),
             SimulationEvent::Step(step) => return self.apply_step(step),
@@ -153,13 +161,13 @@
     }
 
     /// One-way time between two zones, or nothing where they are cut off from each other.
-    fn one_way_ms(&self, from: u16, to: u16) -> Option<f64> {
+    fn one_way_delay_ms(&self, from_zone: u16, to_zone: u16) -> Option<f64> {
         let network = &self.scenario.network;
-        let same_region = self.scenario.region_of(from) == self.scenario.region_of(to);
-        match (from == to, same_region) {
+        let is_same_region = self.scenario.region_of(from_zone) == self.scenario.region_of(to_zone);
+        match (from_zone == to_zone, is_same_region) {
             (true, _) => Some(network.same_zone_ms),
             (_, true) => Some(network.same_region_ms),
-            _ => (!self.is_region_cut).then_some(network.cross_region_ms),
+            _ => (!self.are_regions_partitioned).then_some(network.cross_region_ms),
         }
     }
 }
--- a/crates/scale-test/src/simulated/fleet/request_table.rs
+++ b/crates/scale-test/src/simulated/fleet/request_table.rs
@@ -18,10 +18,10 @@
 
 impl Request {
     /// It has ended, and neither its proxy nor a backend has an attempt of it.
-    fn is_over(&self) -> bool {
-        let is_attempt_over =
+    fn is_finished(&self) -> bool {
+        let is_attempt_finished =
             |attempt: &Attempt| !attempt.is_pending && attempt.stage == AttemptStage::Finished;
-        self.has_ended && self.attempts.iter().all(is_attempt_over)
+        self.has_ended && self.attempts.iter().all(is_attempt_finished)
     }
 }
 
@@ -106,9 +106,9 @@
     }
 
     /// Forgets a request that has ended and of which no attempt is left anywhere.
-    pub fn remove_if_over(&mut self, id: RequestId) {
-        let is_over = self.get(id).is_some_and(Request::is_over);
-        if is_over && let Some(index) = self.index_of(id) {
+    pub fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished = self.get(id).is_some_and(Request::is_finished);
+        if is_finished && let Some(index) = self.index_of(id) {
             self.entries[index] = None;
         }
         while self.entries.front().is_some_and(Option::is_none) {
--- a/crates/scale-test/src/simulated/fleet/scenario_steps.rs
+++ b/crates/scale-test/src/simulated/fleet/scenario_steps.rs
@@ -1,43 +1,43 @@
 //! Steps of the scenario: changes of configuration, restarts, losses, and what ends them.
 
 use super::Fleet;
-use crate::scenario::Invalid;
+use crate::scenario::ScenarioError;
 use crate::simulated::event_queue::{ScenarioStep, SimulationEvent};
 use rand::Rng;
 
 impl Fleet<'_> {
     /// Takes a step of the scenario.
-    pub(super) fn apply_step(&mut self, step: ScenarioStep) -> Result<(), Invalid> {
+    pub(super) fn apply_step(&mut self, step: ScenarioStep) -> Result<(), ScenarioError> {
         match step {
-            ScenarioStep::Part(part) => self.metrics.begin_part(part, self.now),
-            ScenarioStep::Change => self.change_weight(),
-            ScenarioStep::Restart { backend } => self.drain_for_restart(backend),
-            ScenarioStep::Stop { backend } => self.stop_for_restart(backend),
-            ScenarioStep::Start { backend } => self.start_after_restart(backend),
-            ScenarioStep::LoseMachine { backend, back } => self.lose_machine_for(backend, back),
-            ScenarioStep::MachineBack { backend } => self.machine_back(backend)?,
-            ScenarioStep::Zone { zone, on: false } => self.lose_zone(zone),
-            ScenarioStep::Zone { zone, on: true } => self.zone_back(zone)?,
-            ScenarioStep::Cut { on } => {
-                self.is_region_cut = on;
-                if !on {
+            ScenarioStep::BeginPart(part) => self.metrics.begin_part(part, self.now_ms),
+            ScenarioStep::ChangeWeight => self.change_weight(),
+            ScenarioStep::RestartBackend { backend } => self.drain_for_restart(backend),
+            ScenarioStep::StopBackend { backend } => self.stop_for_restart(backend),
+            ScenarioStep::StartBackend { backend } => self.start_after_restart(backend),
+            ScenarioStep::FailMachine { backend, outage_ms } => self.fail_machine_for(backend, outage_ms),
+            ScenarioStep::RecoverMachine { backend } => self.recover_machine(backend)?,
+            ScenarioStep::SetZone { zone, is_up: false } => self.fail_zone(zone),
+            ScenarioStep::SetZone { zone, is_up: true } => self.recover_zone(zone)?,
+            ScenarioStep::SetRegionPartition { is_partitioned } => {
+                self.are_regions_partitioned = is_partitioned;
+                if !is_partitioned {
                     self.resync(true);
                 }
             }
-            ScenarioStep::Discovery { on } => {
-                self.is_discovery_up = on;
-                if on {
+            ScenarioStep::SetDiscovery { is_up } => {
+                self.is_discovery_up = is_up;
+                if is_up {
                     self.resync(true);
                 }
             }
             ScenarioStep::Resync => self.resync(false),
-            ScenarioStep::Replace { proxy } => self.replace_proxy(proxy)?,
+            ScenarioStep::ReplaceProxy { proxy } => self.replace_proxy(proxy)?,
         }
         Ok(())
     }
 
     fn schedule_step(&mut self, delay_ms: f64, step: ScenarioStep) {
-        self.event_queue.schedule(self.now + delay_ms, SimulationEvent::Step(step));
+        self.event_queue.schedule(self.now_ms + delay_ms, SimulationEvent::Step(step));
     }
 
     /// Discovery takes notice of a backend whose process says what it does.
@@ -45,18 +45,18 @@
         self.schedule_publication(backend, self.scenario.discovery.notice_ms);
     }
 
-    fn any_backend(&mut self) -> usize {
+    fn random_backend(&mut self) -> usize {
         self.rng.random_range(..self.backends.len())
     }
 
     fn change_weight(&mut self) {
-        let backend = self.any_backend();
+        let backend = self.random_backend();
         self.backends[backend].weight = 0.8 + 0.4 * self.rng.random::<f64>();
         self.schedule_notice(backend);
     }
 
     fn drain_for_restart(&mut self, backend: Option<usize>) {
-        let backend = backend.unwrap_or_else(|| self.any_backend());
+        let backend = backend.unwrap_or_else(|| self.random_backend());
         let state = &mut self.backends[backend];
         if state.is_down || state.is_draining {
             return;
@@ -67,13 +67,13 @@
         let discovery = &self.scenario.discovery;
         let notified_ms = discovery.notice_ms + discovery.spread_ms[1] + discovery.region_ms;
         let stop_ms = notified_ms + self.scenario.guarantee("stopSendingWithin");
-        self.schedule_step(stop_ms, ScenarioStep::Stop { backend });
+        self.schedule_step(stop_ms, ScenarioStep::StopBackend { backend });
     }
 
     fn stop_for_restart(&mut self, backend: usize) {
         self.stop_backend(backend, false);
         let restart_ms = self.scenario.backend.restart_s * 1000.0;
-        self.schedule_step(restart_ms, ScenarioStep::Start { backend });
+        self.schedule_step(restart_ms, ScenarioStep::StartBackend { backend });
     }
 
     fn start_after_restart(&mut self, backend: usize) {
@@ -85,21 +85,21 @@
         }
     }
 
-    fn lose_machine_for(&mut self, backend: Option<usize>, outage_ms: f64) {
-        let backend = backend.unwrap_or_else(|| self.any_backend());
+    fn fail_machine_for(&mut self, backend: Option<usize>, outage_ms: f64) {
+        let backend = backend.unwrap_or_else(|| self.random_backend());
         if !self.backends[backend].is_unresponsive {
-            self.lose_machine(backend);
-            self.schedule_step(outage_ms, ScenarioStep::MachineBack { backend });
+            self.fail_machine(backend);
+            self.schedule_step(outage_ms, ScenarioStep::RecoverMachine { backend });
         }
     }
 
-    fn lose_machine(&mut self, backend: usize) {
-        self.lose_proxy(backend);
+    fn fail_machine(&mut self, backend: usize) {
+        self.fail_proxy(backend);
         self.stop_backend(backend, true);
         self.schedule_publication(backend, self.scenario.discovery.silent_notice_ms);
     }
 
-    fn machine_back(&mut self, backend: usize) -> Result<(), Invalid> {
+    fn recover_machine(&mut self, backend: usize) -> Result<(), ScenarioError> {
         if self.backends[backend].is_unresponsive {
             self.start_backend(backend);
             self.schedule_notice(backend);
@@ -109,7 +109,7 @@
     }
 
     /// Whether a proxy stands beside a backend, which has the same index.
-    fn has_backend(&self, proxy: usize) -> bool {
+    fn is_sidecar(&self, proxy: usize) -> bool {
         proxy < self.backends.len()
     }
 
@@ -117,20 +117,20 @@
         (0..self.proxies.len()).filter(|&proxy| self.proxies[proxy].zone == zone).collect()
     }
 
-    fn lose_zone(&mut self, zone: u16) {
+    fn fail_zone(&mut self, zone: u16) {
         for proxy in self.proxies_in(zone) {
-            if self.has_backend(proxy) {
-                self.lose_machine(proxy);
+            if self.is_sidecar(proxy) {
+                self.fail_machine(proxy);
             } else {
-                self.lose_proxy(proxy);
+                self.fail_proxy(proxy);
             }
         }
     }
 
-    fn zone_back(&mut self, zone: u16) -> Result<(), Invalid> {
+    fn recover_zone(&mut self, zone: u16) -> Result<(), ScenarioError> {
         for proxy in self.proxies_in(zone) {
-            if self.has_backend(proxy) {
-                self.machine_back(proxy)?;
+            if self.is_sidecar(proxy) {
+                self.recover_machine(proxy)?;
             } else {
                 self.start_proxy(proxy)?;
             }
@@ -138,13 +138,13 @@
         Ok(())
     }
 
-    fn lose_proxy(&mut self, proxy: usize) {
+    fn fail_proxy(&mut self, proxy: usize) {
         let instance = self.proxies[proxy].instance;
         self.stop_proxy(proxy);
         self.discard_missed_changes(instance);
     }
 
-    fn replace_proxy(&mut self, proxy: usize) -> Result<(), Invalid> {
+    fn replace_proxy(&mut self, proxy: usize) -> Result<(), ScenarioError> {
         if !self.proxies[proxy].is_running {
             return Ok(());
         }
--- a/crates/scale-test/src/simulated/metrics.rs
+++ b/crates/scale-test/src/simulated/metrics.rs
@@ -13,12 +13,12 @@
 /// The counts of a run.
 pub struct Metrics {
     parts: Vec<Part>,
-    begins: Vec<f64>,
-    part: usize,
+    part_starts_ms: Vec<f64>,
+    part_index: usize,
     depth: usize,
     windows: Vec<Worth>,
-    window: f64,
-    begin: f64,
+    window_ms: f64,
+    start_ms: f64,
     in_force: Vec<Histogram<u64>>,
     pub decisions: u64,
     pub warm_up_rule: WarmUpRule,
@@ -26,16 +26,16 @@
 
 impl Metrics {
     /// For a number of parts, from `begin` on, in windows of `window` milliseconds.
-    pub fn new(parts: usize, depth: usize, begin: f64, window: f64, warm_up_rule: WarmUpRule) -> Self {
+    pub fn new(parts: usize, depth: usize, start_ms: f64, window_ms: f64, warm_up_rule: WarmUpRule) -> Self {
         let part = Part { hops: vec![Hop::default(); depth], ..Part::default() };
         Metrics {
             parts: vec![part; parts],
-            begins: vec![begin; parts + 1],
-            part: 0,
+            part_starts_ms: vec![start_ms; parts + 1],
+            part_index: 0,
             depth,
             windows: Vec::new(),
-            window,
-            begin,
+            window_ms,
+            start_ms,
             in_force: (0..parts).filter_map(|_| histogram()).collect(),
             decisions: 0xcbf2_9ce4_8422_2325,
             warm_up_rule,
@@ -43,48 +43,48 @@
     }
 
     /// A part begins.
-    pub fn begin_part(&mut self, part: usize, now: f64) {
-        self.part = part;
-        self.begins[part] = now;
+    pub fn begin_part(&mut self, part: usize, now_ms: f64) {
+        self.part_index = part;
+        self.part_starts_ms[part] = now_ms;
     }
     /// The number of the present part.
     pub fn part_index(&self) -> usize {
-        self.part
+        self.part_index
     }
     /// The present part.
     pub fn current_part(&mut self) -> &mut Part {
-        &mut self.parts[self.part]
+        &mut self.parts[self.part_index]
     }
     /// The present part's requests at a depth.
     pub fn hop(&mut self, depth: usize) -> &mut Hop {
         let last = self.depth - 1;
-        &mut self.parts[self.part].hops[depth.min(last)]
+        &mut self.parts[self.part_index].hops[depth.min(last)]
     }
 
     /// The window of a request made at `created_ms`.
     pub fn window_at(&mut self, created_ms: f64) -> &mut Worth {
-        let window = ((created_ms - self.begin) / self.window).max(0.0) as usize;
-        if window >= self.windows.len() {
-            self.windows.resize(window + 1, Worth::default());
+        let index = ((created_ms - self.start_ms) / self.window_ms).max(0.0) as usize;
+        if index >= self.windows.len() {
+            self.windows.resize(index + 1, Worth::default());
         }
-        &mut self.windows[window]
+        &mut self.windows[index]
     }
     /// A client makes a request.
-    pub fn record_request(&mut self, now: f64, priority_weight: f64) {
-        let worth = self.window_at(now);
+    pub fn record_request(&mut self, now_ms: f64, priority_weight: f64) {
+        let worth = self.window_at(now_ms);
         worth.requests += 1;
         worth.asked += priority_weight;
     }
 
     /// A change came into force at the last proxy.
-    pub fn record_in_force(&mut self, part: usize, after: f64) {
+    pub fn record_in_force(&mut self, part: usize, elapsed_ms: f64) {
         if let Some(histogram) = self.in_force.get_mut(part) {
-            histogram.saturating_record((after * 1000.0) as u64);
+            histogram.saturating_record((elapsed_ms * 1000.0) as u64);
         }
     }
 
     /// Takes a decision into the hash (FNV-1a, by words).
-    pub fn record_decision(&mut self, instance: usize, now: f64, action: &Action) {
+    pub fn record_decision(&mut self, instance: usize, now_ms: f64, action: &Action) {
         let words: [u64; 4] = match *action {
             Action::Send { request, backend, expires_at_ms } => {
                 [1, request, backend.into(), expires_at_ms.to_bits()]
@@ -95,43 +95,44 @@
             Action::SetTimer { delay_ms, token } => [5, token.0, 0, delay_ms.to_bits()],
             Action::CloseIdleConnections { backend } => [6, backend.into(), 0, 0],
             Action::PollEndpoints => [7, 1, 0, 0],
-            Action::SetSuspended { backend, is_suspended: on } => [8, backend.into(), on.into(), 0],
-            Action::SetDraining { is_draining: on } => [9, on.into(), 0, 0],
+            Action::SetSuspended { backend, is_suspended } => [8, backend.into(), is_suspended.into(), 0],
+            Action::SetDraining { is_draining } => [9, is_draining.into(), 0, 0],
         };
-        for word in [instance as u64, now.to_bits()].into_iter().chain(words) {
+        for word in [instance as u64, now_ms.to_bits()].into_iter().chain(words) {
             self.decisions = (self.decisions ^ word).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
     /// The windows from `begin` to `end`.
-    pub fn windows(&self, begin: f64, end: f64) -> Vec<Worth> {
-        let at = |time: f64| ((time - self.begin) / self.window).round() as usize;
-        let (from, to) = (at(begin).min(self.windows.len()), at(end).min(self.windows.len()));
-        self.windows[from..to].to_vec()
+    pub fn windows(&self, start_ms: f64, end_ms: f64) -> Vec<Worth> {
+        let window_index = |time_ms: f64| ((time_ms - self.start_ms) / self.window_ms).round() as usize;
+        let (first, end) =
+            (window_index(start_ms).min(self.windows.len()), window_index(end_ms).min(self.windows.len()));
+        self.windows[first..end].to_vec()
     }
 
     /// A part with its requests, from its begin to `end`.
-    pub fn close_part(&self, part: usize, end: f64) -> (Part, Vec<Worth>) {
-        let windows = self.windows(self.begins[part], end);
+    pub fn close_part(&self, part: usize, end_ms: f64) -> (Part, Vec<Worth>) {
+        let windows = self.windows(self.part_starts_ms[part], end_ms);
         let mut closed = self.parts[part].clone();
-        closed.seconds = (end - self.begins[part]) / 1000.0;
+        closed.seconds = (end_ms - self.part_starts_ms[part]) / 1000.0;
         closed.worth = sum(&windows);
         (closed, windows)
     }
 
     /// Times to being in force of the changes of some parts.
-    pub fn propagation(&self, parts: &[usize]) -> Spread {
-        let Some(mut all) = histogram() else { return Spread::default() };
+    pub fn propagation_times(&self, parts: &[usize]) -> Spread {
+        let Some(mut merged) = histogram() else { return Spread::default() };
         for histogram in parts.iter().filter_map(|&p| self.in_force.get(p)) {
             // All have the same bounds, so that each can be added.
-            let _ = all.add(histogram);
+            let _ = merged.add(histogram);
         }
         let ms = |us: u64| us as f64 / 1000.0;
         Spread {
-            count: all.len(),
-            p50: ms(all.value_at_quantile(0.5)),
-            p99: ms(all.value_at_quantile(0.99)),
-            max: ms(all.max()),
+            count: merged.len(),
+            p50: ms(merged.value_at_quantile(0.5)),
+            p99: ms(merged.value_at_quantile(0.99)),
+            max: ms(merged.max()),
         }
     }
 }
--- a/crates/scale-test/src/simulated/mod.rs
+++ b/crates/scale-test/src/simulated/mod.rs
@@ -14,7 +14,7 @@
 
 pub use report::{Checks, Control, EventReport, Hop, Module, Part, Report, Spread, Worth};
 
-use crate::scenario::{Invalid, Scenario};
+use crate::scenario::{Scenario, ScenarioError};
 use backend::WarmUpRule;
 use event_queue::{ScenarioStep, SimulationEvent};
 use fleet::Fleet;
@@ -37,12 +37,12 @@
 ];
 
 /// Plays a fleet of `size` backends, each with its proxy, through all events.
-pub fn run(scenario: &Scenario, size: usize, seed: u64) -> Result<Report, Invalid> {
+pub fn run(scenario: &Scenario, size: usize, seed: u64) -> Result<Report, ScenarioError> {
     run_events(scenario, size, seed, &EVENTS)
 }
 
 /// When the run begins, in virtual milliseconds.
-const BEGIN_MS: f64 = 1000.0;
+const START_MS: f64 = 1000.0;
 /// After the last event the fleet is played on for this long at the least.
 const MIN_TAIL_MS: f64 = 5000.0;
 /// Parts of the report for each event: before, during and after it.
@@ -66,7 +66,7 @@
             steady_ms: whole_windows_ms(run.steady_s, window_ms),
             event_ms: whole_windows_ms(run.event_s, window_ms),
             after_ms: whole_windows_ms(run.after_s, window_ms),
-            longest_request_ms: scenario.of_classes("giveUp").into_iter().fold(0.0, f64::max),
+            longest_request_ms: scenario.class_values("giveUp").into_iter().fold(0.0, f64::max),
         }
     }
 
@@ -97,59 +97,59 @@
     size: usize,
     seed: u64,
     events: &[&'static str],
-) -> Result<Report, Invalid> {
+) -> Result<Report, ScenarioError> {
     let timeline = Timeline::new(scenario);
     let warm_up_rule = WarmUpRule {
-        multiple: scenario.guarantee("fallMultiple"),
-        within_ms: scenario.guarantee("fall").max(1.0),
+        overload_multiple: scenario.guarantee("fallMultiple"),
+        window_ms: scenario.guarantee("fall").max(1.0),
     };
     // The first part is the start, until the limits are learned, and the last is the end, until all is
     // answered.
     let parts = 2 + PARTS_PER_EVENT * events.len();
-    let metrics = Metrics::new(parts, scenario.target.depth, BEGIN_MS, timeline.window_ms, warm_up_rule);
+    let metrics = Metrics::new(parts, scenario.target.depth, START_MS, timeline.window_ms, warm_up_rule);
     let mut fleet = Fleet::new(scenario, size, seed, metrics)?;
     let mut report = Report { size, seed, proxies: fleet.proxies.len(), ..Report::default() };
-    let mut now = BEGIN_MS + timeline.steady_ms;
-    fleet.play_until(now)?;
+    let mut now_ms = START_MS + timeline.steady_ms;
+    fleet.run_until(now_ms)?;
     for (index, &name) in events.iter().enumerate() {
-        now = play_event(&mut fleet, &timeline, name, part_before(index), now)?;
+        now_ms = run_event(&mut fleet, &timeline, name, part_before(index), now_ms)?;
         report.events.push(EventReport { name, ..EventReport::default() });
     }
-    let last_part = ScenarioStep::Part(part_before(events.len()));
-    fleet.event_queue.schedule(now, SimulationEvent::Step(last_part));
+    let last_part = ScenarioStep::BeginPart(part_before(events.len()));
+    fleet.event_queue.schedule(now_ms, SimulationEvent::Step(last_part));
     // What is still on its way comes, so that lists and requests can be judged.
-    fleet.play_until(now + timeline.tail_ms())?;
-    fleet.checks.lists_behind = fleet.instances_behind();
+    fleet.run_until(now_ms + timeline.tail_ms())?;
+    fleet.checks.lists_behind = fleet.outdated_instances();
     for (index, event_report) in report.events.iter_mut().enumerate() {
         summarize_event(&fleet, &timeline, index, event_report);
     }
-    report.played_s = (fleet.now - BEGIN_MS) / 1000.0;
+    report.played_s = (fleet.now_ms - START_MS) / 1000.0;
     report.decisions = fleet.metrics.decisions;
     report.checks = fleet.checks;
     Ok(report)
 }
 
 /// Plays the quiet time before an event, the event, and the time after it; returns when that is over.
-fn play_event(
+fn run_event(
     fleet: &mut Fleet,
     timeline: &Timeline,
     name: &str,
     first_part: usize,
-    now: f64,
-) -> Result<f64, Invalid> {
-    let starts = now + timeline.steady_ms;
-    let ends = starts + timeline.event_ms;
-    let over = ends + timeline.after_ms;
-    for (part, at) in [(first_part, now), (first_part + 1, starts), (first_part + 2, ends)] {
-        fleet.event_queue.schedule(at, SimulationEvent::Step(ScenarioStep::Part(part)));
+    now_ms: f64,
+) -> Result<f64, ScenarioError> {
+    let start_ms = now_ms + timeline.steady_ms;
+    let end_ms = start_ms + timeline.event_ms;
+    let recovery_end_ms = end_ms + timeline.after_ms;
+    for (part, time_ms) in [(first_part, now_ms), (first_part + 1, start_ms), (first_part + 2, end_ms)] {
+        fleet.event_queue.schedule(time_ms, SimulationEvent::Step(ScenarioStep::BeginPart(part)));
     }
-    plan_event(fleet, name, starts, ends);
+    schedule_event(fleet, name, start_ms, end_ms);
     if name == "regions cut" {
-        fleet.play_until(ends)?;
-        fleet.checks.lost_while_cut += fleet.lost_while_cut();
+        fleet.run_until(end_ms)?;
+        fleet.checks.lost_while_cut += fleet.entries_lost_while_partitioned();
     }
-    fleet.play_until(over)?;
-    Ok(over)
+    fleet.run_until(recovery_end_ms)?;
+    Ok(recovery_end_ms)
 }
 
 /// Puts what was measured around an event into its report.
@@ -157,123 +157,126 @@
     let metrics = &fleet.metrics;
     let Timeline { steady_ms, event_ms, after_ms, .. } = *timeline;
     let part = part_before(index);
-    let starts = BEGIN_MS + steady_ms + (steady_ms + event_ms + after_ms) * index as f64;
+    let quiet_start_ms = START_MS + steady_ms + (steady_ms + event_ms + after_ms) * index as f64;
     // A request that was under way when the event began is the event's.
-    let (mut before, mut windows) = metrics.close_part(part, starts + steady_ms);
-    let quiet = windows.len().saturating_sub(timeline.lead_windows()).max(1).min(windows.len());
-    let lead = windows.split_off(quiet);
+    let (mut before, mut windows) = metrics.close_part(part, quiet_start_ms + steady_ms);
+    let quiet_count = windows.len().saturating_sub(timeline.lead_windows()).max(1).min(windows.len());
+    let lead_windows = windows.split_off(quiet_count);
     before.worth = sum(&windows);
-    let (mut during, middle) = metrics.close_part(part + 1, starts + steady_ms + event_ms);
-    let middle: Vec<Worth> = lead.into_iter().chain(middle).collect();
-    during.worth = sum(&middle);
-    let (after, rest) = metrics.close_part(part + 2, starts + steady_ms + event_ms + after_ms);
-    let share = before.worth.share();
+    let (mut during, during_windows) = metrics.close_part(part + 1, quiet_start_ms + steady_ms + event_ms);
+    let during_windows: Vec<Worth> = lead_windows.into_iter().chain(during_windows).collect();
+    during.worth = sum(&during_windows);
+    let (after, after_windows) =
+        metrics.close_part(part + 2, quiet_start_ms + steady_ms + event_ms + after_ms);
+    let baseline_share = before.worth.share();
     let window_s = fleet.scenario.run.window_s;
-    let lost_s = |windows: &[Worth]| windows.iter().map(|w| (share - w.share()) * window_s).sum::<f64>();
-    event_report.lost_s = [lost_s(&middle), lost_s(&rest)];
-    windows.extend(middle.into_iter().chain(rest));
+    let lost_s =
+        |windows: &[Worth]| windows.iter().map(|w| (baseline_share - w.share()) * window_s).sum::<f64>();
+    event_report.lost_s = [lost_s(&during_windows), lost_s(&after_windows)];
+    windows.extend(during_windows.into_iter().chain(after_windows));
     event_report.before = before;
     event_report.during = during;
     event_report.after = after;
     event_report.windows = windows;
-    event_report.in_force = metrics.propagation(&[part + 1, part + 2]);
-    event_report.not_in_force = fleet.endpoint_log.unfinished_of_parts(part + 1..=part + 2);
+    event_report.in_force = metrics.propagation_times(&[part + 1, part + 2]);
+    event_report.not_in_force = fleet.endpoint_log.unfinished_in_parts(part + 1..=part + 2);
 }
 
 /// Changes of configuration that need a restart of every proxy, one on the heels of the other, each in force
 /// within its time.
-fn replace_all(fleet: &mut Fleet, starts: f64, lasts: f64) {
-    let within = (fleet.scenario.target.in_force_within_s * 1000.0).min(lasts);
+fn schedule_proxy_replacements(fleet: &mut Fleet, start_ms: f64, duration_ms: f64) {
+    let interval_ms = (fleet.scenario.target.in_force_within_s * 1000.0).min(duration_ms);
     let proxies = fleet.proxies.len();
-    for round in 0..(lasts / within) as usize {
+    for round in 0..(duration_ms / interval_ms) as usize {
         for proxy in 0..proxies {
-            let time = starts + within * (round as f64 + proxy as f64 / proxies as f64);
-            fleet.event_queue.schedule(time, SimulationEvent::Step(ScenarioStep::Replace { proxy }));
+            let time_ms = start_ms + interval_ms * (round as f64 + proxy as f64 / proxies as f64);
+            fleet.event_queue.schedule(time_ms, SimulationEvent::Step(ScenarioStep::ReplaceProxy { proxy }));
         }
     }
 }
 
 /// Every fifth backend is restarted, spread over three quarters of the event.
-fn release(fleet: &mut Fleet, starts: f64, lasts: f64) {
-    let wave: Vec<usize> = (0..fleet.backends.len()).step_by(5).collect();
-    for (i, &backend) in wave.iter().enumerate() {
-        let time = starts + 0.75 * lasts * i as f64 / wave.len() as f64;
-        fleet
-            .event_queue
-            .schedule(time, SimulationEvent::Step(ScenarioStep::Restart { backend: Some(backend) }));
+fn schedule_release(fleet: &mut Fleet, start_ms: f64, duration_ms: f64) {
+    let restarted: Vec<usize> = (0..fleet.backends.len()).step_by(5).collect();
+    for (index, &backend) in restarted.iter().enumerate() {
+        let time_ms = start_ms + 0.75 * duration_ms * index as f64 / restarted.len() as f64;
+        fleet.event_queue.schedule(
+            time_ms,
+            SimulationEvent::Step(ScenarioStep::RestartBackend { backend: Some(backend) }),
+        );
     }
 }
 
 /// Schedules what an event does between `starts` and `ends`.
-fn plan_event(fleet: &mut Fleet, name: &str, starts: f64, ends: f64) {
-    let mut at =
-        |time: f64, step: ScenarioStep| fleet.event_queue.schedule(time, SimulationEvent::Step(step));
-    let lasts = ends - starts;
+fn schedule_event(fleet: &mut Fleet, name: &str, start_ms: f64, end_ms: f64) {
+    let mut schedule_at =
+        |time_ms: f64, step: ScenarioStep| fleet.event_queue.schedule(time_ms, SimulationEvent::Step(step));
+    let duration_ms = end_ms - start_ms;
     // The first zone is of the first region.
     let zone = 0;
     match name {
         "zone lost and back" => {
-            at(starts, ScenarioStep::Zone { zone, on: false });
-            at(ends, ScenarioStep::Zone { zone, on: true });
+            schedule_at(start_ms, ScenarioStep::SetZone { zone, is_up: false });
+            schedule_at(end_ms, ScenarioStep::SetZone { zone, is_up: true });
         }
         "regions cut" => {
-            at(starts, ScenarioStep::Cut { on: true });
-            at(ends, ScenarioStep::Cut { on: false });
+            schedule_at(start_ms, ScenarioStep::SetRegionPartition { is_partitioned: true });
+            schedule_at(end_ms, ScenarioStep::SetRegionPartition { is_partitioned: false });
         }
-        "whole list to all" => at(starts, ScenarioStep::Resync),
-        "all proxies replaced" => replace_all(fleet, starts, lasts),
-        "release" => release(fleet, starts, lasts),
+        "whole list to all" => schedule_at(start_ms, ScenarioStep::Resync),
+        "all proxies replaced" => schedule_proxy_replacements(fleet, start_ms, duration_ms),
+        "release" => schedule_release(fleet, start_ms, duration_ms),
         "all replaced in a release" => {
             // The new proxies find backends that are warming up or on their way out.
-            release(fleet, starts, lasts);
-            replace_all(fleet, starts + 0.5 * lasts, 0.5 * lasts);
+            schedule_release(fleet, start_ms, duration_ms);
+            schedule_proxy_replacements(fleet, start_ms + 0.5 * duration_ms, 0.5 * duration_ms);
         }
         "machines lost" => {
             // A rack: backends that stand side by side, and with them their proxies.
-            let rack = (fleet.backends.len() / 36).max(1);
-            for backend in 0..rack {
-                at(
-                    starts,
-                    ScenarioStep::LoseMachine {
+            let rack_size = (fleet.backends.len() / 36).max(1);
+            for backend in 0..rack_size {
+                schedule_at(
+                    start_ms,
+                    ScenarioStep::FailMachine {
                         backend: Some(backend * 29 % fleet.backends.len()),
-                        back: lasts,
+                        outage_ms: duration_ms,
                     },
                 );
             }
         }
         "discovery down" => {
-            at(starts, ScenarioStep::Discovery { on: false });
-            at(ends, ScenarioStep::Discovery { on: true });
+            schedule_at(start_ms, ScenarioStep::SetDiscovery { is_up: false });
+            schedule_at(end_ms, ScenarioStep::SetDiscovery { is_up: true });
         }
         _ => {}
     }
     if matches!(name, "changes" | "regions cut" | "discovery down") {
-        schedule_changes(fleet, starts, ends);
+        schedule_changes(fleet, start_ms, end_ms);
     }
 }
 
 /// Changes, restarts and lost machines at random instants, at the rates of the scenario.
-fn schedule_changes(fleet: &mut Fleet, starts: f64, ends: f64) {
+fn schedule_changes(fleet: &mut Fleet, start_ms: f64, end_ms: f64) {
     let scenario = fleet.scenario;
-    let per_ms = scenario.changes_per_s() / 1000.0;
+    let changes_per_ms = scenario.changes_per_s() / 1000.0;
     let target = &scenario.target;
-    let share = |per_day: f64| per_day / target.changes_per_day.max(1e-9);
-    let restarts = share(target.restarts_per_day);
-    let failures = share(target.machine_failures_per_day);
-    let mut time = starts;
+    let rate_share = |per_day: f64| per_day / target.changes_per_day.max(1e-9);
+    let restarts = rate_share(target.restarts_per_day);
+    let machine_failures = rate_share(target.machine_failures_per_day);
+    let mut time_ms = start_ms;
     loop {
-        time += -(1.0 - fleet.rng.random::<f64>()).ln() / per_ms;
-        if per_ms <= 0.0 || time >= ends {
+        time_ms += -(1.0 - fleet.rng.random::<f64>()).ln() / changes_per_ms;
+        if changes_per_ms <= 0.0 || time_ms >= end_ms {
             break;
         }
-        let kind = fleet.rng.random::<f64>();
-        let step = if kind < restarts {
-            ScenarioStep::Restart { backend: None }
-        } else if kind < restarts + failures {
-            ScenarioStep::LoseMachine { backend: None, back: scenario.backend.restart_s * 1000.0 }
+        let draw = fleet.rng.random::<f64>();
+        let step = if draw < restarts {
+            ScenarioStep::RestartBackend { backend: None }
+        } else if draw < restarts + machine_failures {
+            ScenarioStep::FailMachine { backend: None, outage_ms: scenario.backend.restart_s * 1000.0 }
         } else {
-            ScenarioStep::Change
+            ScenarioStep::ChangeWeight
         };
-        fleet.event_queue.schedule(time, SimulationEvent::Step(step));
+        fleet.event_queue.schedule(time_ms, SimulationEvent::Step(step));
     }
 }
--- a/crates/scale-test/src/simulated/topology.rs
+++ b/crates/scale-test/src/simulated/topology.rs
@@ -19,7 +19,7 @@
     /// By service: the service that its backends call; none in the last layer.
     pub callees: Vec<Option<usize>>,
     /// Proxies through which clients come.
-    pub entries: Vec<Placement>,
+    pub entry_proxies: Vec<Placement>,
     /// Clients' requests a second.
     pub clients_per_s: f64,
 }
@@ -28,45 +28,57 @@
     /// The layout of a fleet of `size` backends.
     pub fn new(scenario: &Scenario, size: usize) -> Self {
         let (services, depth) = (scenario.target.services, scenario.target.depth);
-        let onward = scenario.calls.onward_share;
-        let layer = |service: usize| service * depth / services;
-        let members = |of: usize| (0..services).filter(move |&s| layer(s) == of).collect::<Vec<_>>();
+        let onward_share = scenario.calls.onward_share;
+        let layer_of = |service: usize| service * depth / services;
+        let services_in_layer = |layer: usize| {
+            (0..services).filter(move |&service| layer_of(service) == layer).collect::<Vec<_>>()
+        };
         let mut callees = vec![None; services];
-        let first = members(0);
+        let first_layer = services_in_layer(0);
         let mut load = vec![0.0; services];
-        first.iter().for_each(|&s| load[s] = 1.0 / first.len() as f64);
-        for of in 0..depth.saturating_sub(1) {
-            let next = members(of + 1);
-            for (i, s) in members(of).into_iter().enumerate() {
-                let to = next[i % next.len()];
-                callees[s] = Some(to);
-                load[to] += load[s] * onward;
+        first_layer.iter().for_each(|&service| load[service] = 1.0 / first_layer.len() as f64);
+        for layer in 0..depth.saturating_sub(1) {
+            let next_layer = services_in_layer(layer + 1);
+            for (index, service) in services_in_layer(layer).into_iter().enumerate() {
+                let callee = next_layer[index % next_layer.len()];
+                callees[service] = Some(callee);
+                load[callee] += load[service] * onward_share;
             }
         }
-        let total: f64 = load.iter().sum();
+        let total_load: f64 = load.iter().sum();
         let zones = scenario.target.zones;
         let mut backends = Vec::with_capacity(size);
-        for (service, count) in share_out(size, &load).into_iter().enumerate() {
+        for (service, member_count) in apportion(size, &load).into_iter().enumerate() {
             // Each service begins at a zone of its own, so that all zones get alike many.
-            let place = |i| Placement { zone: ((i + service * 3) % zones) as u16, service };
-            backends.extend((0..count).map(place));
+            let placement = |index| Placement { zone: ((index + service * 3) % zones) as u16, service };
+            backends.extend((0..member_count).map(placement));
+        }
+        let entry_count =
+            ((size as f64 * scenario.run.entry_per_backend).ceil() as usize).max(first_layer.len());
+        let entry_proxy = |index: usize| Placement {
+            zone: (index % zones) as u16,
+            service: first_layer[index % first_layer.len()],
+        };
+        let requests_per_s = scenario.run.simulated_calls_per_s_per_backend * size as f64;
+        Topology {
+            backends,
+            callees,
+            entry_proxies: (0..entry_count).map(entry_proxy).collect(),
+            clients_per_s: requests_per_s / total_load,
         }
-        let count = ((size as f64 * scenario.run.entry_per_backend).ceil() as usize).max(first.len());
-        let entry = |i: usize| Placement { zone: (i % zones) as u16, service: first[i % first.len()] };
-        let rate = scenario.run.simulated_calls_per_s_per_backend * size as f64;
-        Topology { backends, callees, entries: (0..count).map(entry).collect(), clients_per_s: rate / total }
     }
 }
 
 /// Deals out `size` by load, one to each at the least; the largest remainders get what is left.
-fn share_out(size: usize, load: &[f64]) -> Vec<usize> {
-    let total: f64 = load.iter().sum();
-    let rest = size.saturating_sub(load.len()) as f64;
-    let exact: Vec<f64> = load.iter().map(|l| 1.0 + rest * l / total).collect();
-    let mut counts: Vec<usize> = exact.iter().map(|x| *x as usize).collect();
-    let mut order: Vec<usize> = (0..load.len()).collect();
-    order.sort_by(|&a, &b| (exact[b].fract(), a).partial_cmp(&(exact[a].fract(), b)).expect("finite"));
-    let missing = size.saturating_sub(counts.iter().sum());
-    order.into_iter().cycle().take(missing).for_each(|s| counts[s] += 1);
+fn apportion(size: usize, load: &[f64]) -> Vec<usize> {
+    let total_load: f64 = load.iter().sum();
+    let remaining = size.saturating_sub(load.len()) as f64;
+    let quotas: Vec<f64> = load.iter().map(|l| 1.0 + remaining * l / total_load).collect();
+    let mut counts: Vec<usize> = quotas.iter().map(|x| *x as usize).collect();
+    let mut by_remainder: Vec<usize> = (0..load.len()).collect();
+    by_remainder
+        .sort_by(|&a, &b| (quotas[b].fract(), a).partial_cmp(&(quotas[a].fract(), b)).expect("finite"));
+    let unassigned = size.saturating_sub(counts.iter().sum());
+    by_remainder.into_iter().cycle().take(unassigned).for_each(|service| counts[service] += 1);
     counts
 }
--- a/crates/scale-test/tests/scenario.rs
+++ b/crates/scale-test/tests/scenario.rs
@@ -2,24 +2,30 @@
 
 use foldhitch_scale_test::scenario::Scenario;
 
-const TARGET: &str = include_str!("../scenarios/target.toml");
+const TARGET_SCENARIO: &str = include_str!("../scenarios/target.toml");
 
 #[test]
-fn the_target_has_its_figures() {
-    let s = Scenario::parse(TARGET).expect("sound");
-    let t = &s.target;
-    assert_eq!(s.sizes, [90, 180, 360, 720]);
-    assert_eq!((t.backends, t.services, t.depth, t.regions, t.zones), (720, 29, 10, 3, 8));
-    assert_eq!((t.calls_per_s, t.added_p99_ms, t.changes_per_day), (47_000.0, 0.86, 2400.0));
-    assert_eq!((t.in_force_within_s, t.control_core_share), (4.0, 0.032));
-    assert_eq!((t.control_memory_mb, t.control_kb_per_s, t.control_machines), (32.0, 10.0, 8));
-    assert_eq!((t.machine_failures_per_day, t.restarts_per_day), (3.0, 62.0));
-    assert_eq!((s.limits.memory_gb, s.limits.processes, s.limits.run_s), (10.0, 300, 300.0));
+fn target_scenario_has_expected_values() {
+    let scenario = Scenario::parse(TARGET_SCENARIO).expect("sound");
+    let target = &scenario.target;
+    assert_eq!(scenario.sizes, [90, 180, 360, 720]);
+    assert_eq!(
+        (target.backends, target.services, target.depth, target.regions, target.zones),
+        (720, 29, 10, 3, 8)
+    );
+    assert_eq!((target.calls_per_s, target.added_p99_ms, target.changes_per_day), (47_000.0, 0.86, 2400.0));
+    assert_eq!((target.in_force_within_s, target.control_core_share), (4.0, 0.032));
+    assert_eq!((target.control_memory_mb, target.control_kb_per_s, target.control_machines), (32.0, 10.0, 8));
+    assert_eq!((target.machine_failures_per_day, target.restarts_per_day), (3.0, 62.0));
+    assert_eq!(
+        (scenario.limits.memory_gb, scenario.limits.processes, scenario.limits.run_s),
+        (10.0, 300, 300.0)
+    );
 }
 
 #[test]
 fn errors_are_one_line_and_name_the_key() {
-    for (from, to, key) in [
+    for (original, replacement, key) in [
         ("services = 29", "services = 29\nservice = 3", "target"),
         ("services = 29\n", "", "services"),
         ("seed = 1", "seed = -1", "seed"),
@@ -46,15 +52,15 @@
         ("tick = 5.0\n", "", "tick"),
         ("seed = 1", "seed = = 1", "line 3"),
     ] {
-        let text = TARGET.replacen(from, to, 1);
-        assert_ne!(text, TARGET, "{from}");
-        let error = Scenario::parse(&text).expect_err(to).to_string();
-        assert!(error.contains(key) && error.lines().count() == 1, "{to}: {error}");
+        let text = TARGET_SCENARIO.replacen(original, replacement, 1);
+        assert_ne!(text, TARGET_SCENARIO, "{original}");
+        let error = Scenario::parse(&text).expect_err(replacement).to_string();
+        assert!(error.contains(key) && error.lines().count() == 1, "{replacement}: {error}");
     }
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn missing_file_is_named_in_the_error() {
     let path = std::path::Path::new("no/such/scenario.toml");
     let error = Scenario::load(path).expect_err("there is none").to_string();
     assert!(error.contains("no/such/scenario.toml") && error.lines().count() == 1, "{error}");
