--- a/crates/scale-test/examples/housekeeping.rs
+++ b/crates/scale-test/examples/housekeeping.rs
@@ -1,6 +1,6 @@
-//! Measures what the decision module costs at 25, 180, 720 and 2,880 listed backends: a housekeeping, idle
-//! and under load, a whole list, and memory under churn. Prints the least and the median of several rounds,
-//! for the machine is shared.
+//! Measures the cost of the balancer with 25, 180, 720 and 2,880 listed backends: a housekeeping timer, idle
+//! and under load; a full list; and memory while the backends are replaced. Prints the minimum and the median
+//! of several rounds, because the machine may be shared with other processes.
 
 use foldhitch_balancer::Balancer;
 use foldhitch_balancer::api::{
@@ -34,8 +34,8 @@
 }
 
 impl LoadedBalancer {
-    /// `per_s` calls a second, each answered after 20 ms, for `ms`; seconds spent in housekeeping, and how
-    /// many.
+    /// Runs `requests_per_s` requests per second, each answered after 20 ms, for `duration_ms`. Returns the
+    /// seconds spent in housekeeping and the number of timers.
     fn run(&mut self, duration_ms: f64, requests_per_s: f64, period_ms: f64) -> (f64, usize) {
         let (end_ms, mut spent_s, mut wakeups) = (self.now_ms + duration_ms, 0.0, 0);
         let mut due_requests = 0.0;
@@ -141,7 +141,7 @@
     churn(&scenario)
 }
 
-/// Resident memory of 200 copies whose 720 backends are all replaced, a hundred times over.
+/// Prints the resident memory of 200 balancers whose 720 backends are all replaced, a hundred times over.
 fn churn(scenario: &Scenario) -> Result<(), Box<dyn std::error::Error>> {
     const INSTANCES: u32 = 200;
     let resident_kb = || -> Result<f64, procfs::ProcError> {
--- a/crates/scale-test/examples/simulated.rs
+++ b/crates/scale-test/examples/simulated.rs
@@ -1,6 +1,6 @@
-//! Plays the hollow fleet of the target's scenario and prints what it showed: `hollow SIZE SEED [EVENT ...]`.
-//! With `EVENT_S` and `STEADY_S` in the environment the events, and the quiet time before each, last for so
-//! many seconds.
+//! Runs the simulated fleet of the target's scenario and prints its report: `simulated SIZE SEED [EVENT
+//! ...]`. The environment variables `EVENT_S` and `STEADY_S` set the duration of the events and of the quiet
+//! time before each, in seconds.
 
 use foldhitch_scale_test::scenario::Scenario;
 use foldhitch_scale_test::simulated::{self, EVENTS};
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -1,32 +1,33 @@
-//! How a measure grows with the size of the fleet: a least-squares line.
+//! Least-squares fit of a measure against the size of the fleet.
 
 use serde::Serialize;
 
-/// A line through points, and how far the points are from it.
+/// A fitted line with its standard errors.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Line {
-    /// Growth of the measure for each unit of size.
+    /// Growth of the measure per unit of size.
     pub slope: f64,
-    /// The measure at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// Standard error of the slope; 0 for two points, which leave none.
+    /// Standard error of the slope; 0 for two points, which leave no degree of freedom.
     pub slope_error: f64,
     /// Standard error of the intercept.
     pub intercept_error: f64,
-    /// Standard deviation of the points from the line.
+    /// Residual standard deviation of the points.
     pub residual: f64,
-    /// Points.
+    /// Number of points.
     pub points: usize,
 }
 
 impl Line {
-    /// The line's measure at a size.
+    /// Returns the value of the line at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
-/// The least-squares line through (size, measure); none for fewer than two sizes or what is not finite.
+/// Fits a line to (size, measure) points. Returns `None` for fewer than two distinct sizes or non-finite
+/// values.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
     let n = points.len() as f64;
     let mean = |coordinate: fn(&(f64, f64)) -> f64| points.iter().map(coordinate).sum::<f64>() / n;
--- a/crates/scale-test/src/scenario.rs
+++ b/crates/scale-test/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The scenario file: the target's figures by name, and those of the run that scales it down.
+//! The scenario file: the requirements of the target system and the parameters of the scaled-down run.
 
 mod real_part;
 mod validation;
@@ -11,182 +11,183 @@
 use std::fmt;
 use std::path::Path;
 
-/// A run, as its file tells it.
+/// A run as described by its scenario file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Feeds every random number of the simulated part.
+    /// Seed of all random numbers of the simulated part.
     pub seed: u64,
-    /// Backends, each with its proxy, of each step of the run.
+    /// Number of backends at each step of the run; every backend has its own proxy.
     pub sizes: Vec<usize>,
-    /// What the system is to carry.
+    /// The load and the requirements of the target system.
     pub target: Target,
-    /// What the machine may be asked for.
+    /// The resources that the run may use on the machine.
     pub limits: Limits,
-    /// How the run is laid out.
+    /// Parameters of the run.
     pub run: Run,
-    /// How the real part is laid out.
+    /// Parameters of the real part.
     pub real: RealPart,
-    /// How services call each other.
+    /// The calls between services.
     pub calls: Calls,
-    /// What a simulated backend is like.
+    /// Parameters of a simulated backend.
     pub backend: Backend,
-    /// Ways between proxies and backends.
+    /// Network delays between proxies and backends.
     pub network: Network,
-    /// How changes spread.
+    /// Delays with which changes propagate.
     pub discovery: Discovery,
-    /// The settings of each proxy, without those that differ from proxy to proxy.
+    /// The settings that all proxies share; per-proxy settings are added by [`Scenario::settings_of`].
     pub settings: Map<String, Value>,
 }
 
-/// The target, figure by figure.
+/// The load and the requirements of the target system.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Each with its proxy.
+    /// Number of backends, each with its own proxy.
     pub backends: usize,
-    /// That the backends are divided among.
+    /// Number of services among which the backends are divided.
     pub services: usize,
-    /// Over all services.
+    /// Calls per second over all services.
     pub calls_per_s: f64,
-    /// Calls that a client's call causes one behind the other, at most, itself counted.
+    /// Maximum length of a chain of nested calls, counting the client's own call.
     pub depth: usize,
-    /// Milliseconds that the proxy adds to a call, for 99 in 100.
+    /// The 99th percentile of the latency that the proxy adds to a call, in milliseconds.
     pub added_p99_ms: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Zones, over all regions.
+    /// Number of zones over all regions.
     pub zones: usize,
-    /// Changes of configuration.
+    /// Configuration changes per day.
     pub changes_per_day: f64,
-    /// Within which a change is in force everywhere.
+    /// Time within which a change must be in force at every proxy, in seconds.
     pub in_force_within_s: f64,
-    /// Share of a core that a proxy spends for control.
+    /// Share of a core that a proxy may use for control-plane work.
     pub control_core_share: f64,
-    /// Memory that a proxy spends for control.
+    /// Memory that a proxy may use for control-plane work, in megabytes.
     pub control_memory_mb: f64,
-    /// Traffic of a proxy for control, in thousands of bytes a second.
+    /// Control-plane traffic of a proxy, in thousands of bytes per second.
     pub control_kb_per_s: f64,
-    /// Machines set aside for control.
+    /// Number of machines reserved for the control plane.
     pub control_machines: usize,
-    /// Machines that fail.
+    /// Machine failures per day.
     pub machine_failures_per_day: f64,
-    /// Backends restarted or replaced.
+    /// Backends restarted or replaced per day.
     pub restarts_per_day: f64,
-    /// Racks or switches that go.
+    /// Failures of racks or switches per year.
     pub rack_losses_per_year: f64,
-    /// Zones that go.
+    /// Zone outages per year.
     pub zone_losses_per_year: f64,
-    /// Times that regions lose each other.
+    /// Network partitions between regions per year.
     pub region_cuts_per_year: f64,
-    /// How long for.
+    /// Duration of a partition between regions, in minutes.
     pub region_cut_minutes: f64,
 }
 
-/// What the machine may be asked for.
+/// The resources that the run may use on the machine.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
-    /// Resident memory of all processes.
+    /// Resident memory of all processes, in gigabytes.
     pub memory_gb: f64,
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// Time for all sizes, in seconds.
+    /// Time for all sizes together, in seconds.
     pub run_s: f64,
 }
 
-/// How the run is laid out.
+/// Parameters of the run.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// Calls a second for each backend, of real processes.
+    /// Calls per second for each backend that is a real process.
     pub calls_per_s_per_backend: f64,
-    /// Requests a second for each backend of the simulated fleet, over all depths.
+    /// Requests per second for each backend of the simulated fleet, over all depths.
     #[serde(rename = "hollow_calls_per_s_per_backend")]
     pub simulated_calls_per_s_per_backend: f64,
-    /// Times as many changes a second as the target has.
+    /// Factor by which the rate of changes exceeds that of the target.
     pub change_compression: f64,
-    /// Seconds before an event.
+    /// Quiet time before an event, in seconds.
     pub steady_s: f64,
-    /// Seconds that an event lasts.
+    /// Duration of an event, in seconds.
     pub event_s: f64,
-    /// Seconds that are watched after it.
+    /// Time that is observed after an event, in seconds.
     pub after_s: f64,
-    /// Seconds of a window of the report.
+    /// Length of a window of the report, in seconds.
     pub window_s: f64,
-    /// Real processes of each size, beside the simulated proxies.
+    /// Number of real processes at each size, in addition to the simulated proxies.
     pub real_processes: usize,
-    /// Proxies through which clients come, for each backend.
+    /// Number of entry proxies, which receive the clients' requests, for each backend.
     pub entry_per_backend: f64,
 }
 
-/// How services call each other.
+/// The calls between services.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Calls {
-    /// Share of calls whose backend calls on, as long as the target's depth allows.
+    /// Share of calls whose backend makes a nested call, up to the target's depth.
     pub onward_share: f64,
-    /// Milliseconds of the time left that a backend keeps for its own answer when it calls on.
+    /// Time that a backend making a nested call keeps from the remaining deadline for its own response, in
+    /// milliseconds.
     pub reserve_ms: f64,
-    /// Share of each class in clients' calls, in the order of the settings.
+    /// Share of each request class in the clients' calls, in the order of the settings.
     pub mix: Vec<f64>,
-    /// Retries of a client whose request was rejected.
+    /// Maximum number of times that a client retries a rejected request.
     pub client_retries: u32,
-    /// Backoff before a retry, in milliseconds, where the rejection has no `Retry-After`.
+    /// Minimum backoff before a client's retry, in milliseconds; a longer `Retry-After` takes precedence.
     pub client_backoff_ms: f64,
 }
 
-/// What a simulated backend is like.
+/// Parameters of a simulated backend.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
-    /// Mean time that a warm backend works on a call.
+    /// Mean processing time of a call at a warm backend, in milliseconds.
     pub work_ms: f64,
-    /// Calls that it works on at once.
+    /// Number of calls that a backend processes concurrently.
     pub slots: usize,
-    /// Calls that wait there.
+    /// Maximum number of calls queued at a backend.
     pub queue: usize,
-    /// Share of its capacity at which it starts.
+    /// Share of its full capacity that a backend has right after its start.
     pub cold_capacity: f64,
-    /// Seconds until it is warm.
+    /// Duration of the warm-up, in seconds.
     pub cold_s: f64,
-    /// Seconds that until one is back that failed under load while it was warming up.
+    /// Time until a backend that failed under load during its warm-up is restarted, in seconds.
     pub fall_s: f64,
-    /// A connection not made by then has failed, in milliseconds.
+    /// Time after which an attempt to connect has failed, in milliseconds.
     pub connect_timeout_ms: f64,
-    /// Seconds that a restart takes.
+    /// Duration of a restart, in seconds.
     pub restart_s: f64,
 }
 
-/// One-way times between a proxy and a backend, in milliseconds.
+/// One-way network delays between a proxy and a backend, in milliseconds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Network {
     /// Within a zone.
     pub same_zone_ms: f64,
-    /// Between zones of a region.
+    /// Between zones of the same region.
     pub same_region_ms: f64,
     /// Between regions.
     pub cross_region_ms: f64,
-    /// Round trips of a new connection.
+    /// Number of round trips to open a connection.
     pub connect_rtts: f64,
 }
 
-/// How changes spread, in milliseconds.
+/// Delays with which changes propagate, in milliseconds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Discovery {
-    /// From a change to its being known in its own region.
+    /// From a change until discovery publishes it in the same region.
     pub notice_ms: f64,
-    /// From there to a proxy: least and most.
+    /// Minimum and maximum delay from publication to a proxy.
     pub spread_ms: [f64; 2],
-    /// From region to region.
+    /// Additional delay from one region to another.
     pub region_ms: f64,
-    /// Until a backend that is unresponsive is taken off the list.
+    /// Until an unresponsive backend is removed from the endpoint list.
     pub silent_notice_ms: f64,
 }
 
-/// Why a scenario was rejected: one line that names the key.
+/// The reason why a scenario was rejected, as one line that names the key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ScenarioError(String);
 
@@ -199,21 +200,22 @@
 impl std::error::Error for ScenarioError {}
 
 impl ScenarioError {
-    /// What another part rejected.
+    /// Creates an error with the message of another error.
     pub fn new(e: impl fmt::Display) -> Self {
         ScenarioError(e.to_string())
     }
 }
 
 impl Scenario {
-    /// Reads a file.
+    /// Reads and validates a scenario file.
     pub fn load(path: &Path) -> Result<Self, ScenarioError> {
         let error_in_file = |e: &dyn fmt::Display| ScenarioError(format!("scenario {}: {e}", path.display()));
         let text = std::fs::read_to_string(path).map_err(|e| error_in_file(&e))?;
         Scenario::parse(&text).map_err(|e| error_in_file(&e))
     }
 
-    /// Reads the text of a file; an error names the key, or the line of what is no TOML.
+    /// Parses and validates the text of a scenario file. An error names the key or, for a syntax error, the
+    /// line.
     pub fn parse(text: &str) -> Result<Self, ScenarioError> {
         let one_line = |e: toml::de::Error| e.message().replace('\n', " ");
         let deserializer = toml::Deserializer::parse(text).map_err(|e| {
@@ -228,7 +230,7 @@
         Ok(scenario)
     }
 
-    /// The settings of a proxy, as its file has them.
+    /// Returns the settings of a proxy in the format of its configuration file.
     pub fn settings_of(&self, instance_index: u32, instance_count: u32, tier: u32, zone: u16) -> Value {
         let mut settings = self.settings.clone();
         let zones: Vec<String> = (0..self.target.zones).map(zone_name).collect();
@@ -244,7 +246,7 @@
         Value::Object(settings)
     }
 
-    /// The same, read as the proxy reads them.
+    /// Returns the settings of a proxy as the proxy resolves them.
     pub fn resolved_settings(
         &self,
         instance_index: u32,
@@ -256,31 +258,32 @@
             .map_err(|error| ScenarioError(error.to_string()))
     }
 
-    /// A figure of the settings that the balancer doesn't get, as of `classes`; 0 where it is left out.
+    /// Returns the value of a key of each class, including keys that the balancer doesn't use; 0 for a
+    /// missing value.
     pub fn class_values(&self, key: &str) -> Vec<f64> {
         let classes = self.settings.get("classes").and_then(Value::as_array);
         let value = |class: &Value| class.get(key).and_then(Value::as_f64).unwrap_or(0.0);
         classes.map(|c| c.iter().map(value).collect()).unwrap_or_default()
     }
 
-    /// The same of `guarantees`.
+    /// Returns the value of a key of `guarantees`, or 0 if it is missing.
     pub fn guarantee(&self, key: &str) -> f64 {
         let guarantees = self.settings.get("guarantees");
         guarantees.and_then(|g| g.get(key)).and_then(Value::as_f64).unwrap_or(0.0)
     }
 
-    /// Region of a zone: zones are dealt out to the regions in turn.
+    /// Returns the region of a zone. Zones are assigned to regions round-robin.
     pub fn region_of(&self, zone: u16) -> usize {
         usize::from(zone) % self.target.regions
     }
 
-    /// Changes a second of the run.
+    /// Returns the number of changes per second in the run.
     pub fn changes_per_s(&self) -> f64 {
         self.target.changes_per_day / 86_400.0 * self.run.change_compression
     }
 }
 
-/// Name of a zone.
+/// Returns the name of a zone.
 pub fn zone_name(zone: usize) -> String {
     format!("z{zone}")
 }
--- a/crates/scale-test/src/scenario/real_part.rs
+++ b/crates/scale-test/src/scenario/real_part.rs
@@ -1,26 +1,27 @@
-//! How the real part is laid out, as the scenario file tells it.
+//! The parameters of the real part in the scenario file.
 
 use serde::Deserialize;
 
-/// The real part's own figures.
+/// Parameters of the real part.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RealPart {
-    /// Seconds that each phase is measured.
+    /// Duration for which each phase is measured, in seconds.
     pub phase_s: f64,
-    /// Hops a second through each real proxy.
+    /// Hops per second through each real proxy.
     pub hops_per_s_per_proxy: f64,
-    /// Depths of nested requests, of which each request draws one.
+    /// Depths of nested requests; each request draws one of them.
     pub depths: Vec<usize>,
-    /// Simulated proxies to a process.
+    /// Number of simulated proxies hosted by one process.
     #[serde(rename = "hollow_per_process")]
     pub simulated_per_process: usize,
-    /// Milliseconds that a warm backend works on a request.
+    /// Processing time of a request at a warm backend, in milliseconds.
     pub work_ms: f64,
-    /// The same at its start, from where it falls.
+    /// Processing time right after a backend's start, in milliseconds; it decreases to `work_ms` during the
+    /// warm-up.
     pub cold_work_ms: f64,
-    /// A request that is sent later than this after its instant, in milliseconds, counts as late.
+    /// Delay past its scheduled time, in milliseconds, after which a request counts as sent late.
     pub late_ms: f64,
-    /// Share of the backends that may drain at once.
+    /// Share of the backends that may drain at the same time.
     pub draining_share: f64,
 }
--- a/crates/scale-test/src/scenario/validation.rs
+++ b/crates/scale-test/src/scenario/validation.rs
@@ -1,16 +1,16 @@
-//! Whether the figures of a scenario are in their ranges.
+//! Checks that the values of a scenario are within their ranges.
 
 use super::{Backend, Calls, Discovery, Limits, Network, RealPart, Run, Scenario, ScenarioError, Target};
 use foldhitch_balancer::Balancer;
 
-/// Most sizes that a run takes on.
+/// Maximum number of sizes of a run.
 const MAX_SIZES: usize = 16;
-/// Most backends of one size.
+/// Maximum number of backends of a size.
 const MAX_BACKENDS: usize = 4096;
-/// For figures that need no upper bound but must be finite.
+/// Upper bound of values that only have to be finite.
 const UNBOUNDED: f64 = 1e9;
 
-/// A figure of the scenario, with its key and the range that it must be in.
+/// A value of the scenario with its key and its allowed range.
 struct BoundedValue {
     key: String,
     value: f64,
@@ -25,33 +25,31 @@
 
     fn check(&self) -> Result<(), ScenarioError> {
         let BoundedValue { key, value, min, max } = self;
-        // What is no number is in no range.
+        // NaN is outside every range.
         if (min..=max).contains(&value) {
             Ok(())
         } else {
-            Err(ScenarioError(format!("{key}: {value} is not in {min} to {max}")))
+            Err(ScenarioError(format!("{key}: {value} is not between {min} and {max}")))
         }
     }
 }
 
 impl Scenario {
-    /// Whether its figures are in their ranges.
+    /// Checks that all values are within their ranges.
     ///
     /// # Errors
     ///
-    /// The first key whose figure isn't.
+    /// Names the first key whose value is out of range.
     pub fn check(&self) -> Result<(), ScenarioError> {
         let size_count = self.sizes.len();
         if size_count == 0 || size_count > MAX_SIZES {
-            return Err(ScenarioError(format!(
-                "sizes: {size_count} of them, where 1 to {MAX_SIZES} can be run"
-            )));
+            return Err(ScenarioError(format!("sizes: {size_count} entries; expected 1 to {MAX_SIZES}")));
         }
         self.bounded_values().iter().try_for_each(BoundedValue::check)?;
         self.check_settings()
     }
 
-    /// All figures, in the order in which they are checked.
+    /// Returns all values in the order in which they are checked.
     fn bounded_values(&self) -> Vec<BoundedValue> {
         let backends = self.target.backends as f64;
         let services = self.target.services as f64;
@@ -87,7 +85,7 @@
         let class_count = settings.balancer.classes.len();
         if mix.len() != class_count || mix.iter().sum::<f64>() <= 0.0 {
             return Err(ScenarioError(format!(
-                "calls.mix: {mix:?} gives no share to each of {class_count} classes"
+                "calls.mix: {mix:?} must have a share for each of {class_count} classes and a sum above 0"
             )));
         }
         Balancer::new(settings.balancer, 0).map_err(ScenarioError::new)?;
--- a/crates/scale-test/src/simulated/backend.rs
+++ b/crates/scale-test/src/simulated/backend.rs
@@ -1,44 +1,44 @@
-//! A simulated backend: slots, a queue, and a capacity that grows while it warms up.
+//! A simulated backend with slots, a queue, and a capacity that grows during its warm-up.
 
 use super::report::Checks;
 use crate::scenario;
 use foldhitch_balancer::api::RequestId;
 use std::collections::{BTreeSet, VecDeque};
 
-/// A backend.
+/// The state of a simulated backend.
 pub struct Backend {
     pub zone: u16,
     pub service: usize,
     pub weight: f64,
-    /// Its process does not run.
+    /// Whether the backend's process is not running.
     pub is_down: bool,
-    /// Nor does its machine answer.
+    /// Whether the backend's machine doesn't answer at all.
     pub is_unresponsive: bool,
     pub is_draining: bool,
-    /// When its process started; 0 is long ago.
+    /// Start time of the backend's process; 0 if it was started before the run and is warm.
     pub started_at_ms: f64,
     pub busy_slots: usize,
     pub queue: VecDeque<(RequestId, usize)>,
-    /// All attempts that are there.
+    /// All attempts that are queued or processed at this backend.
     pub active_attempts: BTreeSet<(RequestId, usize)>,
-    /// Requests that came while it was warming up, within the time of the `WarmUpRule`.
+    /// Requests received during the warm-up, within the window of the `WarmUpRule`.
     pub recent_arrivals: VecDeque<Arrival>,
 }
 
-/// A request that came to a backend while it was warming up.
+/// A request received by a backend during its warm-up.
 #[derive(Debug, Clone, Copy)]
 pub struct Arrival {
     pub at_ms: f64,
-    /// Its proxy knew when the backend's process started.
+    /// Whether the sending proxy knew the start time of the backend's process.
     pub knows_start: bool,
 }
 
-/// What the settings promise a backend that is warming up.
+/// The load that the settings guarantee not to exceed at a backend that is warming up.
 #[derive(Debug, Clone, Copy)]
 pub struct WarmUpRule {
-    /// It falls when it gets more than this multiple of what it can do ...
+    /// The backend fails if it receives more than this multiple of its current capacity within `window_ms`.
     pub overload_multiple: f64,
-    /// ... in this time.
+    /// Window over which requests are counted, in milliseconds.
     pub window_ms: f64,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Its capacity as a share of the full one.
+    /// Returns the current capacity as a share of the full capacity.
     pub fn capacity_fraction(&self, now_ms: f64, config: &scenario::Backend) -> f64 {
         let warm_up_ms = config.cold_s * 1000.0;
         if self.started_at_ms == 0.0 || now_ms >= self.started_at_ms + warm_up_ms {
@@ -69,7 +69,7 @@
         config.cold_capacity * (1.0 - progress) + progress
     }
 
-    /// Takes note of a request; whether it is one too many for a backend that is warming up.
+    /// Records a received request. Returns whether it overloads a backend that is warming up.
     pub fn record_arrival(
         &mut self,
         now_ms: f64,
--- a/crates/scale-test/src/simulated/event_queue.rs
+++ b/crates/scale-test/src/simulated/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of the simulation, and the queue that orders them by virtual time.
+//! The events of the simulation and the queue that orders them by virtual time.
 
 use foldhitch_balancer::api::{Outcome, RequestId, TimerToken};
 use std::cmp::Ordering;
@@ -7,60 +7,60 @@
 /// An event of the simulation.
 #[derive(Debug, Clone, Copy)]
 pub enum SimulationEvent {
-    /// A client makes a request; the next one follows.
+    /// A client sends a request; the next arrival is scheduled.
     ClientArrival,
-    /// A client that was rejected sends its request again.
+    /// A client retries a request that was rejected.
     ClientRetry { class: u16, retries: u32, created_ms: f64 },
-    /// A proxy's timer is due.
+    /// A timer of a proxy's balancer fires.
     TimerFired { instance: usize, token: TimerToken },
-    /// An attempt comes to its backend.
+    /// An attempt arrives at its backend.
     AttemptArrived { request: RequestId, attempt: usize },
-    /// A backend has done its own work on it.
+    /// A backend has finished its own processing of an attempt.
     WorkFinished { request: RequestId, attempt: usize },
-    /// Its outcome comes to the proxy.
+    /// The outcome of an attempt arrives at the proxy.
     OutcomeArrived { request: RequestId, attempt: usize, outcome: Outcome },
-    /// Its backend learns that nobody waits for it any more.
+    /// The cancellation of an attempt arrives at its backend.
     AttemptCancelled { request: RequestId, attempt: usize },
-    /// A request's time is over.
+    /// The deadline of a request has passed.
     DeadlinePassed { request: RequestId },
-    /// By then the request must have its final answer.
+    /// The time by which a request must have its final answer.
     FinalAnswerDue { request: RequestId },
-    /// Discovery takes notice of a backend as it is now; changed at `since`.
+    /// Discovery publishes the current state of a backend, which changed at `changed_at_ms`.
     EndpointPublished { backend: usize, changed_at_ms: f64 },
-    /// A change comes to a proxy.
+    /// A change of the endpoint list arrives at a proxy.
     ChangeDelivered { instance: usize, change: usize },
-    /// A full list comes to a proxy.
+    /// A full list arrives at a proxy.
     FullListDelivered { instance: usize },
     /// A step of the scenario.
     Step(ScenarioStep),
 }
 
-/// What the scenario does to the fleet.
+/// A step of the scenario that changes the state of the fleet.
 #[derive(Debug, Clone, Copy)]
 pub enum ScenarioStep {
-    /// Another part of the report begins.
+    /// The next part of the report begins.
     BeginPart(usize),
-    /// A change of configuration: a backend's weight.
+    /// The weight of a random backend changes, as a change of configuration.
     ChangeWeight,
-    /// A backend is drained and restarted.
+    /// A backend is drained and then restarted.
     RestartBackend { backend: Option<usize> },
-    /// A backend's process ends.
+    /// A backend's process stops.
     StopBackend { backend: usize },
-    /// It is back, warming up.
+    /// A backend's process starts, with a warm-up.
     StartBackend { backend: usize },
-    /// A machine becomes unresponsive, proxy and backend, and comes back after so many ms.
+    /// A machine with its proxy and its backend becomes unresponsive for `outage_ms`.
     FailMachine { backend: Option<usize>, outage_ms: f64 },
-    /// A machine is back.
+    /// An unresponsive machine recovers.
     RecoverMachine { backend: usize },
-    /// A zone becomes unresponsive, or is back.
+    /// A zone becomes unresponsive or recovers.
     SetZone { zone: u16, is_up: bool },
-    /// Regions lose each other, or are joined again.
+    /// The network between the regions is partitioned or restored.
     SetRegionPartition { is_partitioned: bool },
-    /// Every proxy gets the full list.
+    /// Every proxy receives the full list.
     Resync,
-    /// Discovery is down, or back.
+    /// Discovery becomes unavailable or recovers.
     SetDiscovery { is_up: bool },
-    /// A proxy is replaced by a new process.
+    /// A new process replaces a proxy.
     ReplaceProxy { proxy: usize },
 }
 
@@ -82,28 +82,29 @@
     }
 }
 impl Ord for QueuedEvent {
-    /// The earliest is the greatest; of one time, the first that was scheduled.
+    /// Orders events in reverse, so that the max-heap returns the earliest first, and of events at the same
+    /// time the first that was scheduled.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at_ms.total_cmp(&self.at_ms).then(other.sequence.cmp(&self.sequence))
     }
 }
 
-/// What lies further ahead than the present slice of so many ms waits unsorted: most timers outlive their
-/// requests, and in one heap they would make every other step slow.
+/// Length of the time slices of the queue. Only the events of the current slice are kept sorted: most timers
+/// outlive their requests, and with all of them in one heap every other step would become slow.
 const SLICE_MS: f64 = 8.0;
 
-/// The events that are still to come, the earliest first.
+/// The pending events, the earliest first.
 #[derive(Default)]
 pub struct EventQueue {
     near: BinaryHeap<QueuedEvent>,
-    /// The slice up to which all is in `near`.
+    /// The last slice whose events are in `near`.
     near_slice: u64,
     far: BTreeMap<u64, Vec<QueuedEvent>>,
     last_sequence: u64,
 }
 
 impl EventQueue {
-    /// Schedules an event for a time.
+    /// Schedules an event at a virtual time.
     pub fn schedule(&mut self, at_ms: f64, event: SimulationEvent) {
         self.last_sequence += 1;
         let entry = QueuedEvent { at_ms, sequence: self.last_sequence, event };
@@ -114,7 +115,8 @@
             self.far.entry(slice).or_default().push(entry);
         }
     }
-    /// Takes out the next event before `end_ms`, with its time.
+
+    /// Removes and returns the next event before `end_ms`, together with its time.
     pub fn pop_before(&mut self, end_ms: f64) -> Option<(f64, SimulationEvent)> {
         while self.near.is_empty() {
             let (slice, entries) = self.far.pop_first()?;
--- a/crates/scale-test/src/simulated/fleet/backend_work.rs
+++ b/crates/scale-test/src/simulated/fleet/backend_work.rs
@@ -1,4 +1,4 @@
-//! Attempts at their backends: queues, work, and requests of a backend's own.
+//! Processing of attempts at their backends: queues, work, and nested requests.
 
 use super::Fleet;
 use super::request_table::{AttemptStage, Request};
@@ -55,7 +55,7 @@
         self.start_queued_work(target);
     }
 
-    /// A backend begins what waits there, while it has capacity.
+    /// Starts processing queued attempts while the backend has free slots.
     fn start_queued_work(&mut self, target: usize) {
         let work_ms = self.scenario.backend.work_ms;
         while self.backends[target].busy_slots < self.scenario.backend.slots {
@@ -87,7 +87,8 @@
         let calls_onward = has_callee && self.rng.random::<f64>() < self.scenario.calls.onward_share;
         if calls_onward && deadline_ms > self.now_ms {
             let instance = self.proxies[target].instance;
-            // The child is known before its balancer answers, for that may be at once.
+            // The identifier of the nested request is stored first, because its balancer may answer
+            // immediately.
             let child = self.requests.next_id();
             self.set_stage(id, attempt, AttemptStage::WaitingForChild(child));
             let parent = Some((id, attempt));
@@ -115,7 +116,7 @@
         }
     }
 
-    /// A backend's request of its own is over.
+    /// Handles the end of a nested request.
     pub(super) fn finish_child(&mut self, id: RequestId, attempt: usize, child: RequestId, served: bool) {
         if self
             .requests
@@ -126,7 +127,7 @@
         }
     }
 
-    /// A backend is done with an attempt.
+    /// Ends an attempt at its backend and reports the outcome.
     fn finish_attempt(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         self.remove_job(id, attempt);
         self.send_outcome(id, attempt, outcome);
@@ -140,7 +141,7 @@
         self.backends[target].active_attempts.remove(&(id, attempt));
     }
 
-    /// Sends an outcome back to the proxy.
+    /// Sends the outcome of an attempt to its proxy.
     pub(super) fn send_outcome(&mut self, id: RequestId, attempt: usize, outcome: Outcome) {
         let Some(request) = self.requests.get(id).filter(|request| request.attempts[attempt].is_pending)
         else {
--- a/crates/scale-test/src/simulated/fleet/clients.rs
+++ b/crates/scale-test/src/simulated/fleet/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they make requests, try rejected ones again, and get the answers.
+//! Clients, which send requests, retry rejected ones, and receive the answers.
 
 use super::Fleet;
 use super::request_table::{Request, RequestOutcome};
--- a/crates/scale-test/src/simulated/fleet/discovery.rs
+++ b/crates/scale-test/src/simulated/fleet/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery in virtual time: how what it knows of each backend comes to the proxies.
+//! Discovery on virtual time: publishes the state of the backends and delivers it to the proxies.
 
 use super::Fleet;
 use super::endpoint_log::{Change, KnownEndpoint};
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 impl Fleet<'_> {
-    /// Discovery will take notice of what has just happened to a backend.
+    /// Schedules the publication of a change that has just happened to a backend.
     pub(super) fn schedule_publication(&mut self, backend: usize, delay_ms: f64) {
         self.event_queue.schedule(
             self.now_ms + delay_ms,
@@ -16,7 +16,7 @@
         );
     }
 
-    /// Discovery takes notice of a backend as it is now, and the change goes out to those who follow it.
+    /// Publishes the current state of a backend and sends the change to the proxies that follow its service.
     pub(super) fn publish(&mut self, backend: usize, changed_at_ms: f64) {
         let backend_state = &self.backends[backend];
         let phase = match (
@@ -60,7 +60,7 @@
         }
     }
 
-    /// How long a change in a zone takes to a proxy; never where they are cut off from each other.
+    /// Returns the delay of a change from a zone to a proxy, or `None` if the change can't reach the proxy.
     fn discovery_delay_ms(&mut self, zone: u16, instance: usize) -> Option<f64> {
         let discovery = &self.scenario.discovery;
         let [min_ms, max_ms] = discovery.spread_ms;
@@ -74,14 +74,14 @@
         }
     }
 
-    /// Sends a message to a proxy; none overtakes another.
+    /// Schedules a message to a proxy. Messages to the same proxy stay in order.
     fn schedule_delivery(&mut self, instance: usize, delay_ms: f64, event: SimulationEvent) {
         let proxy = &mut self.instances[instance];
         proxy.last_delivery_ms = proxy.last_delivery_ms.max(self.now_ms + delay_ms);
         self.event_queue.schedule(proxy.last_delivery_ms, event);
     }
 
-    /// A change comes to a proxy.
+    /// Delivers a change to a proxy.
     pub(super) fn deliver_change(&mut self, instance: usize, change: usize) {
         if !self.acknowledge_change(instance, change) {
             return;
@@ -91,7 +91,7 @@
         self.deliver_list(instance, EndpointListKind::Delta, vec![entry]);
     }
 
-    /// The full list comes to a proxy.
+    /// Delivers the full list to a proxy.
     pub(super) fn deliver_full_list(&mut self, instance: usize) {
         let proxy = &mut self.instances[instance];
         if !proxy.follows_discovery() {
@@ -117,7 +117,7 @@
         self.deliver_list(instance, EndpointListKind::Full, entries);
     }
 
-    /// The endpoints of a service that are not gone.
+    /// Returns the endpoints of a service, without removed ones.
     fn listed_endpoints(&self, service: usize) -> Vec<EndpointInfo> {
         let mut entries = Vec::new();
         for (backend, entry) in self.backends.iter().zip(&self.endpoint_log.published) {
@@ -151,7 +151,8 @@
         endpoints.insert(entry.backend, known);
     }
 
-    /// A change is in force at a proxy, or its process runs no more; returns whether it is in force.
+    /// Counts a proxy as done with a change, because the change is in force there or its process has ended.
+    /// Returns whether the proxy still follows discovery.
     fn acknowledge_change(&mut self, instance: usize, change: usize) -> bool {
         let change = &mut self.endpoint_log.changes[change];
         change.pending_proxies -= 1;
@@ -161,7 +162,7 @@
         self.instances[instance].follows_discovery()
     }
 
-    /// A proxy's process runs no more: what it missed is not delivered any more.
+    /// Discards the missed changes of a proxy whose process has ended or was replaced.
     pub(super) fn discard_missed_changes(&mut self, instance: usize) {
         let missed = std::mem::take(&mut self.instances[instance].missed_changes);
         for change in missed {
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Every proxy gets the full list, or those that missed something do.
+    /// Sends the full list to every proxy, or only to those that missed changes.
     pub(super) fn resync(&mut self, only_incomplete: bool) {
         for instance in 0..self.instances.len() {
             let proxy = &self.instances[instance];
@@ -180,8 +181,8 @@
         }
     }
 
-    /// Proxies that do not hold what discovery has published for the service that they follow, and to which
-    /// nothing is on its way.
+    /// Returns the number of proxies whose list differs from the published one and to which no message is in
+    /// transit.
     pub fn outdated_instances(&self) -> u64 {
         let is_outdated = |proxy: &&ProxyInstance| {
             let awaits_delivery = proxy.last_delivery_ms > self.now_ms;
@@ -190,7 +191,7 @@
         self.instances.iter().filter(is_outdated).count() as u64
     }
 
-    /// Whether a proxy holds anything else than what is published for its service.
+    /// Returns whether a proxy's list differs from the published endpoints of its service.
     fn differs_from_published(&self, proxy: &ProxyInstance) -> bool {
         let mut published = self.backends.iter().zip(&self.endpoint_log.published);
         published.any(|(backend, entry)| {
@@ -202,13 +203,14 @@
         })
     }
 
-    /// Entries that proxies cut off have lost of the regions beyond: the last valid list holds.
+    /// Returns the number of entries of other regions that the proxies' lists have lost. During a partition
+    /// the last valid list must stay in use.
     pub fn entries_lost_while_partitioned(&self) -> u64 {
         let followers = self.instances.iter().filter(|proxy| proxy.follows_discovery());
         followers.map(|proxy| self.count_lost_of_other_regions(proxy)).sum()
     }
 
-    /// Entries of other regions that a proxy's list has lost.
+    /// Returns the number of entries of other regions that are missing from a proxy's list.
     fn count_lost_of_other_regions(&self, proxy: &ProxyInstance) -> u64 {
         let region = self.scenario.region_of(proxy.zone);
         let mut lost = 0;
--- a/crates/scale-test/src/simulated/fleet/endpoint_log.rs
+++ b/crates/scale-test/src/simulated/fleet/endpoint_log.rs
@@ -1,40 +1,40 @@
-//! What discovery has published of each backend, and what a proxy holds of it.
+//! The endpoints that discovery has published and the endpoints that a proxy knows.
 
 use crate::simulated::topology::{Placement, Topology};
 use foldhitch_balancer::api::{BackendId, EndpointInfo, Phase};
 use std::ops::RangeInclusive;
 
-/// What a proxy holds of a backend.
+/// An endpoint as a proxy knows it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct KnownEndpoint {
     pub phase: Phase,
     pub weight: f64,
     pub started_at_ms: f64,
-    /// Time since which it has had this phase.
+    /// Time at which the proxy learned of the current phase.
     pub phase_since_ms: f64,
 }
 
 impl KnownEndpoint {
-    /// Whether it is what the entry says.
+    /// Returns whether the known state equals that of an entry.
     pub fn matches(&self, entry: &EndpointInfo) -> bool {
         self.phase == entry.phase && self.weight == entry.weight && self.started_at_ms == entry.started_at_ms
     }
 }
 
-/// A change that discovery has published.
+/// A change published by discovery.
 pub struct Change {
     pub entry: EndpointInfo,
-    /// When it happened.
+    /// Time of the change itself.
     pub changed_at_ms: f64,
-    /// Proxies to which it has still to come.
+    /// Number of proxies that have not received the change yet.
     pub pending_proxies: usize,
-    /// The report's part in which it happened.
+    /// Index of the report's part in which the change was published.
     pub part: usize,
 }
 
-/// The endpoints as discovery has published them, and the changes that led there.
+/// The published endpoints and the history of their changes.
 pub struct EndpointLog {
-    /// By backend.
+    /// The published state of each backend, by index.
     pub published: Vec<EndpointInfo>,
     pub changes: Vec<Change>,
 }
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Changes of some parts of the report that have not come to all their proxies.
+    /// Returns the number of changes of the given parts that have not reached all their proxies.
     pub fn unfinished_in_parts(&self, parts: RangeInclusive<usize>) -> usize {
         let unfinished = self.changes.iter().filter(|change| change.pending_proxies > 0);
         unfinished.filter(|change| parts.contains(&change.part)).count()
--- a/crates/scale-test/src/simulated/fleet/mod.rs
+++ b/crates/scale-test/src/simulated/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! The fleet in virtual time: carries out what the balancers decide, and notifies them of the outcomes.
-//! Here are its state and the events; each of the modules below handles events of one kind.
+//! The fleet on virtual time: carries out the actions of the balancers and passes them the resulting events.
+//!
+//! This module holds the state and dispatches the events; each submodule handles one kind of event.
 
 mod backend_work;
 mod clients;
@@ -25,7 +26,7 @@
 use request_table::RequestTable;
 use std::collections::BTreeMap;
 
-/// The fleet.
+/// The state of the simulated fleet.
 pub struct Fleet<'a> {
     pub scenario: &'a Scenario,
     pub topology: Topology,
@@ -33,7 +34,7 @@
     pub rng: StdRng,
     pub event_queue: EventQueue,
     pub instances: Vec<ProxyInstance>,
-    /// Those beside the backends first, then those through which clients come.
+    /// The sidecar proxies in the order of their backends, followed by the entry proxies.
     pub proxies: Vec<Proxy>,
     pub backends: Vec<Backend>,
     requests: RequestTable,
@@ -50,7 +51,7 @@
 }
 
 impl<'a> Fleet<'a> {
-    /// A fleet whose backends are warm and whose proxies have their lists.
+    /// Creates a fleet in which all backends are warm and all proxies have their lists.
     pub fn new(
         scenario: &'a Scenario,
         size: usize,
@@ -99,7 +100,7 @@
         let mut next_indices = BTreeMap::<Option<usize>, u32>::new();
         for &(zone, callee, tier) in &placements {
             let next_index = next_indices.entry(callee).or_default();
-            // A proxy beside a backend that calls nobody follows a list all the same.
+            // A sidecar proxy whose backend makes no calls still follows an endpoint list.
             let service = callee.unwrap_or(entry_service);
             let instance_count = count_callers_of(callee);
             self.proxies.push(Proxy {
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Plays until `end`.
+    /// Runs the simulation until `end_ms`.
     pub fn run_until(&mut self, end_ms: f64) -> Result<(), ScenarioError> {
         while let Some((at_ms, event)) = self.event_queue.pop_before(end_ms) {
             self.now_ms = at_ms;
@@ -160,7 +161,7 @@
         Ok(())
     }
 
-    /// One-way time between two zones, or nothing where they are cut off from each other.
+    /// Returns the one-way delay between two zones, or `None` if their regions are partitioned.
     fn one_way_delay_ms(&self, from_zone: u16, to_zone: u16) -> Option<f64> {
         let network = &self.scenario.network;
         let is_same_region = self.scenario.region_of(from_zone) == self.scenario.region_of(to_zone);
@@ -172,7 +173,7 @@
     }
 }
 
-/// Backends are numbered from 1 in lists.
+/// Converts a backend's number in endpoint lists, which starts at 1, to its index.
 fn backend_index(backend: BackendId) -> usize {
     backend as usize - 1
 }
--- a/crates/scale-test/src/simulated/fleet/processes.rs
+++ b/crates/scale-test/src/simulated/fleet/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of backends and proxies that start and end.
+//! Start and end of the processes of backends and proxies.
 
 use super::Fleet;
 use super::proxy::ProxyInstance;
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Fleet<'_> {
-    /// Starts a proxy's process; it has the full list from discovery at once.
+    /// Starts a proxy's process, which receives the full list from discovery immediately.
     pub(super) fn start_proxy(&mut self, proxy: usize) -> Result<(), ScenarioError> {
         let slot = &mut self.proxies[proxy];
         let settings = self.scenario.resolved_settings(
@@ -39,7 +39,7 @@
         Ok(())
     }
 
-    /// A backend's process ends; one that becomes unresponsive notifies nobody.
+    /// Stops a backend's process. An unresponsive backend resets neither its attempts nor its connections.
     pub(super) fn stop_backend(&mut self, index: usize, is_unresponsive: bool) {
         let backend = &mut self.backends[index];
         if backend.is_down {
@@ -70,18 +70,18 @@
         }
     }
 
-    /// It is back, warming up.
+    /// Starts a backend's process, which then warms up.
     pub(super) fn start_backend(&mut self, index: usize) {
         let backend = &mut self.backends[index];
         (backend.is_down, backend.is_unresponsive, backend.started_at_ms, backend.is_draining) =
             (false, false, self.now_ms, false);
         backend.recent_arrivals.clear();
         self.checks.cold_starts += 1;
-        // Connections of the old process are reset at the first use; that costs a connection.
+        // Connections of the old process are reset on first use, so each proxy needs a new connection.
         self.drop_connections(index);
     }
 
-    /// A proxy's process ends with all its requests, and notifies nobody.
+    /// Ends a proxy's process and all its requests without notifying clients or backends.
     pub(super) fn stop_proxy(&mut self, proxy: usize) {
         self.proxies[proxy].is_running = false;
         let stopped = self.proxies[proxy].instance;
--- a/crates/scale-test/src/simulated/fleet/proxy.rs
+++ b/crates/scale-test/src/simulated/fleet/proxy.rs
@@ -1,36 +1,36 @@
-//! The proxies of the fleet: their places, and the processes that run there.
+//! The proxies of the fleet and their processes.
 
 use super::endpoint_log::KnownEndpoint;
 use foldhitch_balancer::Balancer;
 use foldhitch_balancer::api::BackendId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A proxy's process.
+/// A process of a proxy.
 pub struct ProxyInstance {
     pub balancer: Balancer,
     pub zone: u16,
     pub service: usize,
-    /// Runs; one that was replaced runs on until its requests are over.
+    /// Whether the process runs; a replaced process runs until its requests have ended.
     pub is_alive: bool,
     pub is_replaced: bool,
     pub open_requests: usize,
-    /// Backends to which it has connections.
+    /// Backends with an open connection.
     pub connections: BTreeSet<usize>,
     pub endpoints: BTreeMap<BackendId, KnownEndpoint>,
-    /// Changes that did not come to it; the next full list brings them.
+    /// Changes that could not be delivered; the next full list contains them.
     pub missed_changes: Vec<usize>,
-    /// When the last list comes to it: none overtakes another.
+    /// Delivery time of the last message that was sent, which keeps messages in order.
     pub last_delivery_ms: f64,
 }
 
 impl ProxyInstance {
-    /// Whether changes of the endpoint list are delivered to it.
+    /// Returns whether changes of the endpoint list are delivered to this process.
     pub fn follows_discovery(&self) -> bool {
         self.is_alive && !self.is_replaced
     }
 }
 
-/// A proxy's place in the fleet: its present process and what a new one is started with.
+/// A proxy of the fleet, with its current process and the parameters of a new one.
 pub struct Proxy {
     pub instance: usize,
     pub instance_index: u32,
--- a/crates/scale-test/src/simulated/fleet/proxy_requests.rs
+++ b/crates/scale-test/src/simulated/fleet/proxy_requests.rs
@@ -1,4 +1,4 @@
-//! Requests at their proxies: the events that a balancer gets, and the actions that it decides.
+//! Requests at their proxies: the events of the balancers and the resulting actions.
 
 use super::request_table::{Attempt, AttemptStage, Request, RequestOutcome};
 use super::{Fleet, backend_index};
@@ -8,7 +8,7 @@
 };
 
 impl Fleet<'_> {
-    /// A proxy gets a request.
+    /// Starts a request at a proxy.
     pub(super) fn open_request(&mut self, request: Request) -> RequestId {
         let id = self.requests.next_id();
         let (instance, class, deadline_ms) = (request.instance, request.class as u16, request.deadline_ms);
@@ -23,7 +23,7 @@
         id
     }
 
-    /// Notifies a proxy's balancer and carries out what it decides.
+    /// Passes an event to a proxy's balancer and carries out the resulting actions.
     pub(super) fn notify_balancer(&mut self, instance: usize, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.instances[instance].balancer.handle(self.now_ms, event, &mut actions);
@@ -49,7 +49,7 @@
                 Action::CloseIdleConnections { backend } => {
                     self.instances[instance].connections.remove(&backend_index(backend));
                 }
-                // Lists are pushed, and no operator says anything.
+                // Discovery pushes its lists, and the scenario has no operator commands.
                 Action::PollEndpoints | Action::SetSuspended { .. } | Action::SetDraining { .. } => {}
             }
         }
@@ -90,7 +90,7 @@
         let connect_failed =
             SimulationEvent::OutcomeArrived { request: id, attempt, outcome: Outcome::ConnectFailed };
         match delay_ms.filter(|_| !is_unresponsive) {
-            // Nothing comes back: on a connection not before the request's time is over.
+            // No answer arrives: an attempt on an open connection only ends at the request's deadline.
             None if is_connected => {}
             None => {
                 let timeout_ms = self.scenario.backend.connect_timeout_ms;
@@ -168,7 +168,7 @@
         }
     }
 
-    /// A request is over for whoever made it.
+    /// Ends a request and passes the outcome to the client or to the parent request.
     pub(super) fn complete(&mut self, id: RequestId, outcome: RequestOutcome) {
         let Some(request) = self.requests.get_mut(id).filter(|request| !request.has_ended) else { return };
         request.has_ended = true;
@@ -186,7 +186,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Forgets a request that nobody waits for any more.
+    /// Removes a request if it has ended and none of its attempts is left.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         self.requests.remove_if_finished(id);
     }
--- a/crates/scale-test/src/simulated/fleet/request_table.rs
+++ b/crates/scale-test/src/simulated/fleet/request_table.rs
@@ -1,9 +1,9 @@
-//! The requests under way, with their attempts.
+//! The table of requests in flight and their attempts.
 
 use foldhitch_balancer::api::RequestId;
 use std::collections::VecDeque;
 
-/// A request as its proxy sees it.
+/// A request at its proxy.
 pub struct Request {
     pub instance: usize,
     pub depth: usize,
@@ -17,7 +17,7 @@
 }
 
 impl Request {
-    /// It has ended, and neither its proxy nor a backend has an attempt of it.
+    /// Returns whether the request has ended and neither its proxy nor a backend has an open attempt of it.
     fn is_finished(&self) -> bool {
         let is_attempt_finished =
             |attempt: &Attempt| !attempt.is_pending && attempt.stage == AttemptStage::Finished;
@@ -29,25 +29,25 @@
 pub struct Attempt {
     pub backend: usize,
     pub sent_ms: f64,
-    /// Without an outcome.
+    /// Whether the proxy has no outcome yet.
     pub is_pending: bool,
     pub stage: AttemptStage,
-    /// The proxy knew when the backend's process started.
+    /// Whether the proxy knew the start time of the backend's process.
     pub knows_start: bool,
 }
 
-/// What an attempt's backend does with it.
+/// The stage of an attempt at its backend.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum AttemptStage {
     InTransit,
     Queued,
     Processing,
-    /// Waits for a request of its own.
+    /// Waits for a nested request.
     WaitingForChild(RequestId),
     Finished,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RequestOutcome {
     Served,
@@ -55,25 +55,25 @@
     Failed,
 }
 
-/// The requests that are not forgotten yet, numbered in the order in which they came.
+/// The requests that have not been removed, numbered in the order of their arrival.
 pub struct RequestTable {
     entries: VecDeque<Option<Request>>,
-    /// Number of the first entry.
+    /// Identifier of the first entry.
     first: RequestId,
 }
 
 impl RequestTable {
-    /// Without any request; the first one gets the number 1.
+    /// Creates an empty table, in which the first request gets the identifier 1.
     pub fn new() -> Self {
         RequestTable { entries: VecDeque::new(), first: 1 }
     }
 
-    /// The number that the next request gets.
+    /// Returns the identifier of the next request.
     pub fn next_id(&self) -> RequestId {
         self.first + self.entries.len() as RequestId
     }
 
-    /// Adds a request under the next number.
+    /// Adds a request with the next identifier.
     pub fn push(&mut self, request: Request) {
         self.entries.push_back(Some(request));
     }
@@ -83,18 +83,18 @@
         (index < self.entries.len()).then_some(index)
     }
 
-    /// A request, unless it is forgotten.
+    /// Returns a request, or `None` if it was removed.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.entries[self.index_of(id)?].as_ref()
     }
 
-    /// The same, to be changed.
+    /// Returns a mutable reference to a request, or `None` if it was removed.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         let index = self.index_of(id)?;
         self.entries[index].as_mut()
     }
 
-    /// The requests of a proxy's process.
+    /// Returns the identifiers of all requests of a proxy's process.
     pub fn ids_of(&self, instance: usize) -> Vec<RequestId> {
         let mut ids = Vec::new();
         for (id, entry) in (self.first..).zip(&self.entries) {
@@ -105,7 +105,7 @@
         ids
     }
 
-    /// Forgets a request that has ended and of which no attempt is left anywhere.
+    /// Removes a request if it has ended and none of its attempts is left at the proxy or a backend.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished = self.get(id).is_some_and(Request::is_finished);
         if is_finished && let Some(index) = self.index_of(id) {
--- a/crates/scale-test/src/simulated/fleet/scenario_steps.rs
+++ b/crates/scale-test/src/simulated/fleet/scenario_steps.rs
@@ -1,4 +1,4 @@
-//! Steps of the scenario: changes of configuration, restarts, losses, and what ends them.
+//! The steps of the scenario: configuration changes, restarts, failures and recoveries.
 
 use super::Fleet;
 use crate::scenario::ScenarioError;
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 impl Fleet<'_> {
-    /// Takes a step of the scenario.
+    /// Applies a step of the scenario.
     pub(super) fn apply_step(&mut self, step: ScenarioStep) -> Result<(), ScenarioError> {
         match step {
             ScenarioStep::BeginPart(part) => self.metrics.begin_part(part, self.now_ms),
@@ -40,7 +40,7 @@
         self.event_queue.schedule(self.now_ms + delay_ms, SimulationEvent::Step(step));
     }
 
-    /// Discovery takes notice of a backend whose process says what it does.
+    /// Schedules the publication of a state that the backend's process announces itself.
     fn schedule_notice(&mut self, backend: usize) {
         self.schedule_publication(backend, self.scenario.discovery.notice_ms);
     }
@@ -63,7 +63,7 @@
         }
         state.is_draining = true;
         self.schedule_notice(backend);
-        // It stops once every proxy has been notified and the drain deadline has passed.
+        // The backend stops once every proxy has been notified and the drain deadline has passed.
         let discovery = &self.scenario.discovery;
         let notified_ms = discovery.notice_ms + discovery.spread_ms[1] + discovery.region_ms;
         let stop_ms = notified_ms + self.scenario.guarantee("stopSendingWithin");
@@ -78,7 +78,7 @@
 
     fn start_after_restart(&mut self, backend: usize) {
         let state = &self.backends[backend];
-        // One that became unresponsive meanwhile comes back with its machine.
+        // A backend that became unresponsive in the meantime recovers together with its machine.
         if state.is_down && !state.is_unresponsive {
             self.start_backend(backend);
             self.schedule_notice(backend);
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    /// Whether a proxy stands beside a backend, which has the same index.
+    /// Returns whether a proxy is a sidecar; its backend has the same index.
     fn is_sidecar(&self, proxy: usize) -> bool {
         proxy < self.backends.len()
     }
--- a/crates/scale-test/src/simulated/mod.rs
+++ b/crates/scale-test/src/simulated/mod.rs
@@ -1,9 +1,10 @@
-//! The simulated fleet: every proxy an instance of the balancer, on virtual time, the same for a seed. No
-//! socket, no clock.
+//! The simulated fleet: each proxy is an instance of the balancer on virtual time, without sockets or a real
+//! clock. A run is reproducible for a given seed.
 //!
-//! What it models: the ways between zones and regions, backends with slots, queues and warm-up that call other
-//! services through their own proxies, processes that end and machines that become unresponsive, and discovery's delays. What
-//! it doesn't: a proxy's processor time, the bytes of messages, connections beyond the first to each backend.
+//! The simulation models the network delays between zones and regions; backends with slots, queues and
+//! warm-up that call other services through their own proxies; processes that stop and machines that become
+//! unresponsive; and the delays of discovery. It does not model a proxy's processor time, the size of
+//! messages, or more than one connection to each backend.
 
 mod backend;
 mod event_queue;
@@ -22,8 +23,8 @@
 use rand::Rng;
 use report::sum;
 
-/// What happens to the fleet, in this order, each after a quiet time; those that leave most backends warming up
-/// come last.
+/// The events of a run in order, each after a quiet time. Events that leave most backends warming up come
+/// last.
 pub const EVENTS: [&str; 9] = [
     "changes",
     "zone lost and back",
@@ -36,19 +37,19 @@
     "all replaced in a release",
 ];
 
-/// Plays a fleet of `size` backends, each with its proxy, through all events.
+/// Runs a fleet of `size` backends, each with its own proxy, through all events.
 pub fn run(scenario: &Scenario, size: usize, seed: u64) -> Result<Report, ScenarioError> {
     run_events(scenario, size, seed, &EVENTS)
 }
 
-/// When the run begins, in virtual milliseconds.
+/// Start of the run, in virtual milliseconds.
 const START_MS: f64 = 1000.0;
-/// After the last event the fleet is played on for this long at the least.
+/// Minimum time for which the fleet runs on after the last event.
 const MIN_TAIL_MS: f64 = 5000.0;
-/// Parts of the report for each event: before, during and after it.
+/// Number of parts of the report for each event: before, during and after it.
 const PARTS_PER_EVENT: usize = 3;
 
-/// How long the parts of a run last, in whole windows.
+/// The durations of the parts of a run, as multiples of the report's window.
 struct Timeline {
     window_ms: f64,
     steady_ms: f64,
@@ -70,28 +71,28 @@
         }
     }
 
-    /// Windows that the longest request spans.
+    /// Returns the number of windows that the longest request spans.
     fn lead_windows(&self) -> usize {
         (self.longest_request_ms / self.window_ms).ceil() as usize
     }
 
-    /// How long the fleet is played after the last event.
+    /// Returns how long the fleet runs on after the last event.
     fn tail_ms(&self) -> f64 {
         whole_windows_ms(self.longest_request_ms.max(MIN_TAIL_MS) / 1000.0, self.window_ms)
     }
 }
 
-/// Seconds, rounded up to whole windows of at least one.
+/// Converts seconds to milliseconds, rounded up to at least one whole window.
 fn whole_windows_ms(seconds: f64, window_ms: f64) -> f64 {
     (seconds * 1000.0 / window_ms).ceil().max(1.0) * window_ms
 }
 
-/// The part of the report that stands before an event.
+/// Returns the index of the report's part before an event.
 fn part_before(event: usize) -> usize {
     1 + PARTS_PER_EVENT * event
 }
 
-/// The same with some of the events only.
+/// Runs a fleet like [`run`], with the given events only.
 pub fn run_events(
     scenario: &Scenario,
     size: usize,
@@ -103,8 +104,8 @@
         overload_multiple: scenario.guarantee("fallMultiple"),
         window_ms: scenario.guarantee("fall").max(1.0),
     };
-    // The first part is the start, until the limits are learned, and the last is the end, until all is
-    // answered.
+    // The first part is the start-up, while the balancers learn their concurrency limits; the last one is the
+    // end, while remaining requests are answered.
     let parts = 2 + PARTS_PER_EVENT * events.len();
     let metrics = Metrics::new(parts, scenario.target.depth, START_MS, timeline.window_ms, warm_up_rule);
     let mut fleet = Fleet::new(scenario, size, seed, metrics)?;
@@ -117,7 +118,7 @@
     }
     let last_part = ScenarioStep::BeginPart(part_before(events.len()));
     fleet.event_queue.schedule(now_ms, SimulationEvent::Step(last_part));
-    // What is still on its way comes, so that lists and requests can be judged.
+    // Messages in transit must arrive before lists and requests can be checked.
     fleet.run_until(now_ms + timeline.tail_ms())?;
     fleet.checks.lists_behind = fleet.outdated_instances();
     for (index, event_report) in report.events.iter_mut().enumerate() {
@@ -129,7 +130,8 @@
     Ok(report)
 }
 
-/// Plays the quiet time before an event, the event, and the time after it; returns when that is over.
+/// Runs the quiet time before an event, the event, and the time after it. Returns the time at which that is
+/// over.
 fn run_event(
     fleet: &mut Fleet,
     timeline: &Timeline,
@@ -152,13 +154,13 @@
     Ok(recovery_end_ms)
 }
 
-/// Puts what was measured around an event into its report.
+/// Writes the measurements around an event into its report.
 fn summarize_event(fleet: &Fleet, timeline: &Timeline, index: usize, event_report: &mut EventReport) {
     let metrics = &fleet.metrics;
     let Timeline { steady_ms, event_ms, after_ms, .. } = *timeline;
     let part = part_before(index);
     let quiet_start_ms = START_MS + steady_ms + (steady_ms + event_ms + after_ms) * index as f64;
-    // A request that was under way when the event began is the event's.
+    // A request in flight when the event began is attributed to the event.
     let (mut before, mut windows) = metrics.close_part(part, quiet_start_ms + steady_ms);
     let quiet_count = windows.len().saturating_sub(timeline.lead_windows()).max(1).min(windows.len());
     let lead_windows = windows.split_off(quiet_count);
@@ -182,8 +184,7 @@
     event_report.not_in_force = fleet.endpoint_log.unfinished_in_parts(part + 1..=part + 2);
 }
 
-/// Changes of configuration that need a restart of every proxy, one on the heels of the other, each in force
-/// within its time.
+/// Schedules consecutive configuration changes, each of which restarts every proxy within the target's time.
 fn schedule_proxy_replacements(fleet: &mut Fleet, start_ms: f64, duration_ms: f64) {
     let interval_ms = (fleet.scenario.target.in_force_within_s * 1000.0).min(duration_ms);
     let proxies = fleet.proxies.len();
@@ -195,7 +196,7 @@
     }
 }
 
-/// Every fifth backend is restarted, spread over three quarters of the event.
+/// Schedules a restart of every fifth backend, spread over three quarters of the event.
 fn schedule_release(fleet: &mut Fleet, start_ms: f64, duration_ms: f64) {
     let restarted: Vec<usize> = (0..fleet.backends.len()).step_by(5).collect();
     for (index, &backend) in restarted.iter().enumerate() {
@@ -207,12 +208,12 @@
     }
 }
 
-/// Schedules what an event does between `starts` and `ends`.
+/// Schedules the steps of an event between `start_ms` and `end_ms`.
 fn schedule_event(fleet: &mut Fleet, name: &str, start_ms: f64, end_ms: f64) {
     let mut schedule_at =
         |time_ms: f64, step: ScenarioStep| fleet.event_queue.schedule(time_ms, SimulationEvent::Step(step));
     let duration_ms = end_ms - start_ms;
-    // The first zone is of the first region.
+    // Zone 0 belongs to the first region.
     let zone = 0;
     match name {
         "zone lost and back" => {
@@ -227,12 +228,12 @@
         "all proxies replaced" => schedule_proxy_replacements(fleet, start_ms, duration_ms),
         "release" => schedule_release(fleet, start_ms, duration_ms),
         "all replaced in a release" => {
-            // The new proxies find backends that are warming up or on their way out.
+            // The new proxies start while backends are warming up or draining.
             schedule_release(fleet, start_ms, duration_ms);
             schedule_proxy_replacements(fleet, start_ms + 0.5 * duration_ms, 0.5 * duration_ms);
         }
         "machines lost" => {
-            // A rack: backends that stand side by side, and with them their proxies.
+            // A rack failure hits neighbouring machines, each with a backend and its sidecar proxy.
             let rack_size = (fleet.backends.len() / 36).max(1);
             for backend in 0..rack_size {
                 schedule_at(
@@ -255,7 +256,7 @@
     }
 }
 
-/// Changes, restarts and lost machines at random instants, at the rates of the scenario.
+/// Schedules changes, restarts and machine failures at random times, with the rates of the scenario.
 fn schedule_changes(fleet: &mut Fleet, start_ms: f64, end_ms: f64) {
     let scenario = fleet.scenario;
     let changes_per_ms = scenario.changes_per_s() / 1000.0;
--- a/crates/scale-test/src/simulated/report.rs
+++ b/crates/scale-test/src/simulated/report.rs
@@ -1,71 +1,73 @@
-//! What a run showed.
+//! The report of a simulated run.
 
 use serde::Serialize;
 
-/// What a run of one size showed.
+/// The report of a run of one size.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Backends, each with its proxy.
+    /// Number of backends, each with its own proxy.
     pub size: usize,
-    /// What fed the random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Proxies, with those through which clients come.
+    /// Number of proxies, including the entry proxies that receive the clients' requests.
     pub proxies: usize,
-    /// Virtual seconds played.
+    /// Duration of the run, in virtual seconds.
     pub played_s: f64,
-    /// A hash over all decisions of all proxies.
+    /// Hash over all decisions of all proxies.
     pub decisions: u64,
-    /// Event by event.
+    /// The reports of the events, in order.
     pub events: Vec<EventReport>,
-    /// What must hold exactly.
+    /// Invariants of the whole run.
     pub checks: Checks,
 }
 
-/// An event with the quiet time before it.
+/// The report of an event and of the quiet time before it.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct EventReport {
-    /// What happened.
+    /// Name of the event.
     pub name: &'static str,
-    /// Before it.
+    /// The quiet time before the event.
     pub before: Part,
-    /// While it lasted.
+    /// The time of the event itself.
     pub during: Part,
-    /// Afterwards.
+    /// The time after the event.
     pub after: Part,
-    /// Seconds of full service lost, against the share served before: in the event, and after it.
+    /// Lost service during the event and after it, in seconds of full service relative to the share served
+    /// before.
     pub lost_s: [f64; 2],
-    /// Window by window of `run.window_s`, before it first.
+    /// Consecutive windows of `run.window_s`, starting with those before the event.
     pub windows: Vec<Worth>,
-    /// From a change of the event and the time after it to its being in force at the last proxy.
+    /// Times from a change, made during the event or after it, until it was in force at the last proxy.
     pub in_force: Spread,
-    /// Changes that were not yet in force at the last proxy when the run ended.
+    /// Number of changes that were not in force at every proxy when the run ended.
     pub not_in_force: usize,
 }
 
-/// Clients' requests by when they were made, and the worth that was asked and served.
+/// Clients' requests by the time of their creation, with the requested and the served priority weight.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Worth {
-    /// Requests, further tries not counted.
+    /// Number of requests, without their retries.
     pub requests: u64,
-    /// Answered within their aim.
+    /// Requests answered within their latency objective.
     pub in_time: u64,
-    /// Answered later.
+    /// Requests answered after their latency objective, but before their deadline.
     pub late: u64,
-    /// Refused for good.
+    /// Requests that were rejected and not retried again.
     pub refused: u64,
-    /// Failed, or never answered in time.
+    /// Requests that failed or were not answered before their deadline.
     pub failed: u64,
-    /// Worth of all.
+    /// Sum of the priority weights of all requests.
     pub asked: f64,
-    /// Worth of what was served.
+    /// Sum of the priority weights of the served requests; a late answer counts for a part of its weight.
     pub served: f64,
 }
 
 impl Worth {
-    /// Share of the worth that was served; 1 where nothing was asked.
+    /// Returns the served share of the priority weight, or 1 if there were no requests.
     pub fn share(&self) -> f64 {
         if self.asked > 0.0 { self.served / self.asked } else { 1.0 }
     }
+
     fn add(&mut self, other: &Worth) {
         self.requests += other.requests;
         self.in_time += other.in_time;
@@ -77,114 +79,116 @@
     }
 }
 
-/// Of all windows.
+/// Returns the sum over all windows.
 pub(super) fn sum(windows: &[Worth]) -> Worth {
     let mut sum = Worth::default();
     windows.iter().for_each(|w| sum.add(w));
     sum
 }
 
-/// A part of the run.
+/// The measurements of a part of the run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Part {
-    /// Virtual seconds.
+    /// Duration, in virtual seconds.
     pub seconds: f64,
-    /// Clients' requests made in it; those that were under way when an event began are the event's.
+    /// Clients' requests created in this part; requests in flight when an event began are attributed to the
+    /// event.
     pub worth: Worth,
-    /// Events that the decision modules were told.
+    /// Events handled by the balancers.
     pub module: Module,
-    /// What discovery sent.
+    /// Messages sent by discovery.
     pub control: Control,
-    /// Calls by depth, the clients' first.
+    /// Calls by depth, starting with the clients' own calls.
     pub hops: Vec<Hop>,
 }
 
-/// Events that the decision modules were told, over all proxies.
+/// Number of events handled by the balancers of all proxies.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Module {
     /// Requests that arrived.
     pub requests: u64,
-    /// Attempts resolved.
+    /// Attempts that finished.
     pub resolved: u64,
-    /// Housekeepings.
+    /// Timers that fired.
     pub wakes: u64,
-    /// Lists and changes.
+    /// Full lists and changes.
     pub lists: u64,
 }
 
-/// What discovery sent, over all proxies.
+/// Messages that discovery sent to all proxies.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Control {
-    /// Changes that were published.
+    /// Number of changes published.
     pub changes: u64,
-    /// Messages to proxies.
+    /// Number of messages to proxies.
     pub messages: u64,
-    /// Entries in them.
+    /// Number of list entries in these messages.
     pub entries: u64,
-    /// Whole lists among them.
+    /// Number of full lists among these messages.
     pub whole: u64,
 }
 
-/// Calls at one depth.
+/// The calls at one depth.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Hop {
-    /// Calls; a client's further try is one of its own.
+    /// Number of calls; a client's retry counts as a call.
     pub calls: u64,
-    /// Attempts sent for them.
+    /// Attempts sent for these calls.
     pub attempts: u64,
-    /// Attempts that failed, whatever the reason.
+    /// Attempts that failed for any reason.
     pub failed_attempts: u64,
-    /// New connections.
+    /// Connections opened.
     pub connects: u64,
     /// Calls that were served.
     pub served: u64,
 }
 
 impl Hop {
-    /// Attempts a call: the factor that retries put on the load.
+    /// Returns the attempts per call, which is the factor by which retries increase the load.
     pub fn factor(&self) -> f64 {
         if self.calls > 0 { self.attempts as f64 / self.calls as f64 } else { 1.0 }
     }
 }
 
-/// Times in milliseconds.
+/// Distribution of times, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Spread {
-    /// How many.
+    /// Number of values.
     pub count: u64,
-    /// Median.
+    /// The median.
     pub p50: f64,
-    /// Of 99 in 100.
+    /// The 99th percentile.
     pub p99: f64,
-    /// The longest.
+    /// The maximum.
     pub max: f64,
 }
 
-/// What must hold exactly: all but the last five are 0 in a sound run.
+/// Counts of violated invariants, which are 0 in a correct run, followed by five counters of cold starts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Checks {
-    /// Attempts sent to a backend that the proxy had been told is draining or gone.
+    /// Attempts sent to a backend that the proxy's list had as draining or removed.
     pub sent_after_told: u64,
-    /// The same, later than the grace after it was told.
+    /// Those of them that were sent after the drain deadline.
     pub sent_past_grace: u64,
-    /// Attempts sent to a backend that no list named.
+    /// Attempts sent to a backend that was on no list of the proxy.
     pub sent_unlisted: u64,
-    /// Lists that a proxy held while it was cut off and that lost an entry of the regions beyond.
+    /// Entries of other regions that the proxies' lists lost while the regions were partitioned.
     pub lost_while_cut: u64,
-    /// Proxies that did not hold the newest list at the end.
+    /// Proxies that did not have the latest list at the end of the run.
     pub lists_behind: u64,
-    /// Requests that the decision module had not ended when nothing was owed any more.
+    /// Requests without a final answer from the balancer when it was due.
     pub never_ended: u64,
-    /// Attempts for which something was decided after their request's end.
+    /// Attempts that the balancer sent after their request had ended.
     pub sent_after_end: u64,
-    /// Cold starts that were followed.
+    /// Number of backends started during the run.
     pub cold_starts: u64,
-    /// Calls sent to cold backends.
+    /// Calls sent to backends that were warming up.
     pub cold_calls: u64,
-    /// Cold backends that fell: more than N + 2 √N + 2 calls in the time that the settings name.
+    /// Backends that failed under load during their warm-up: they received more than N + 2 √N + 2 calls, where
+    /// the settings allow N calls within their time window.
     pub cold_falls: u64,
-    /// Of these, where more than two thirds came from proxies that had been told of the start.
+    /// Those of them where more than two thirds of the calls came from proxies that knew of the start.
     pub cold_falls_told: u64,
-    /// The most calls to a cold backend in that time, over its N + 2 √N + 2.
+    /// Maximum ratio of the calls to a warming-up backend within that window to its N + 2 √N + 2.
     pub cold_worst: f64,
 }
--- a/crates/scale-test/src/simulated/topology.rs
+++ b/crates/scale-test/src/simulated/topology.rs
@@ -1,31 +1,31 @@
-//! Where backends and proxies are and which service calls which: services in layers, each calling one of the next layer,
-//! as deep as the target says.
+//! The placement of backends and proxies and the call graph of the services. The services form layers; each
+//! service calls one service of the next layer, down to the depth of the target.
 
 use crate::scenario::Scenario;
 
-/// Where a backend or a proxy is.
+/// The placement of a backend or a proxy.
 #[derive(Debug, Clone, Copy)]
 pub struct Placement {
     pub zone: u16,
-    /// Service of a backend; service that a proxy calls.
+    /// The service of a backend, or the service that a proxy calls.
     pub service: usize,
 }
 
-/// The fleet's layout.
+/// The layout of the fleet.
 #[derive(Debug)]
 pub struct Topology {
-    /// Backends; each has a proxy that calls the service named in `callees`.
+    /// The backends. Each has a sidecar proxy, which calls the service given in `callees`.
     pub backends: Vec<Placement>,
-    /// By service: the service that its backends call; none in the last layer.
+    /// For each service, the service that its backends call; `None` in the last layer.
     pub callees: Vec<Option<usize>>,
-    /// Proxies through which clients come.
+    /// The entry proxies, which receive the clients' requests.
     pub entry_proxies: Vec<Placement>,
-    /// Clients' requests a second.
+    /// Clients' requests per second.
     pub clients_per_s: f64,
 }
 
 impl Topology {
-    /// The layout of a fleet of `size` backends.
+    /// Creates the layout of a fleet of `size` backends.
     pub fn new(scenario: &Scenario, size: usize) -> Self {
         let (services, depth) = (scenario.target.services, scenario.target.depth);
         let onward_share = scenario.calls.onward_share;
@@ -49,7 +49,7 @@
         let zones = scenario.target.zones;
         let mut backends = Vec::with_capacity(size);
         for (service, member_count) in apportion(size, &load).into_iter().enumerate() {
-            // Each service begins at a zone of its own, so that all zones get alike many.
+            // Each service starts at a different zone, so that the backends are spread evenly over the zones.
             let placement = |index| Placement { zone: ((index + service * 3) % zones) as u16, service };
             backends.extend((0..member_count).map(placement));
         }
@@ -69,15 +69,16 @@
     }
 }
 
-/// Deals out `size` by load, one to each at the least; the largest remainders get what is left.
+/// Divides `size` by load with the largest-remainder method; every service gets at least one.
 fn apportion(size: usize, load: &[f64]) -> Vec<usize> {
     let total_load: f64 = load.iter().sum();
     let remaining = size.saturating_sub(load.len()) as f64;
     let quotas: Vec<f64> = load.iter().map(|l| 1.0 + remaining * l / total_load).collect();
     let mut counts: Vec<usize> = quotas.iter().map(|x| *x as usize).collect();
     let mut by_remainder: Vec<usize> = (0..load.len()).collect();
-    by_remainder
-        .sort_by(|&a, &b| (quotas[b].fract(), a).partial_cmp(&(quotas[a].fract(), b)).expect("finite"));
+    by_remainder.sort_by(|&a, &b| {
+        (quotas[b].fract(), a).partial_cmp(&(quotas[a].fract(), b)).expect("shares are finite")
+    });
     let unassigned = size.saturating_sub(counts.iter().sum());
     by_remainder.into_iter().cycle().take(unassigned).for_each(|service| counts[service] += 1);
     counts
--- a/crates/scale-test/tests/scenario.rs
+++ b/crates/scale-test/tests/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario that can't be run is turned down with one line that names the key.
+//! Invalid scenarios are rejected with one line that names the key.
 
 use foldhitch_scale_test::scenario::Scenario;
 
@@ -6,8 +6,9 @@
 
 #[test]
 fn target_scenario_has_expected_values() {
-    let scenario = Scenario::parse(TARGET_SCENARIO).expect("sound");
+    let scenario = Scenario::parse(TARGET_SCENARIO).expect("the target scenario is valid");
     let target = &scenario.target;
+
     assert_eq!(scenario.sizes, [90, 180, 360, 720]);
     assert_eq!(
         (target.backends, target.services, target.depth, target.regions, target.zones),
@@ -54,7 +55,9 @@
     ] {
         let text = TARGET_SCENARIO.replacen(original, replacement, 1);
         assert_ne!(text, TARGET_SCENARIO, "{original}");
+
         let error = Scenario::parse(&text).expect_err(replacement).to_string();
+
         assert!(error.contains(key) && error.lines().count() == 1, "{replacement}: {error}");
     }
 }
@@ -62,6 +65,8 @@
 #[test]
 fn missing_file_is_named_in_the_error() {
     let path = std::path::Path::new("no/such/scenario.toml");
-    let error = Scenario::load(path).expect_err("there is none").to_string();
+
+    let error = Scenario::load(path).expect_err("the file is missing").to_string();
+
     assert!(error.contains("no/such/scenario.toml") && error.lines().count() == 1, "{error}");
 }
