--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -1,46 +1,47 @@
-//! How a measure grows with the size of the fleet: a least-squares line.
+//! Least-squares fit of a measure against the size of the fleet.
 
 use serde::Serialize;
 
-/// A line through points, and how far the points are from it.
+/// A fitted line with its standard errors.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Line {
-    /// Growth of the measure for each unit of size.
+    /// Growth of the measure per unit of size.
     pub slope: f64,
-    /// The measure at size 0.
+    /// Value of the line at size 0.
     pub intercept: f64,
-    /// Standard error of the slope; 0 for two points, which leave none.
+    /// Standard error of the slope; 0 for two points, which leave no degree of freedom.
     pub slope_error: f64,
     /// Standard error of the intercept.
     pub intercept_error: f64,
-    /// Standard deviation of the points from the line.
+    /// Residual standard deviation of the points.
     pub residual: f64,
-    /// Points.
+    /// Number of points.
     pub points: usize,
 }
 
 impl Line {
-    /// The line's measure at a size.
+    /// Returns the value of the line at a size.
     pub fn at(&self, size: f64) -> f64 {
         self.intercept + self.slope * size
     }
 }
 
-/// The least-squares line through (size, measure); none for fewer than two sizes or what is not finite.
+/// Fits a line to (size, measure) points. Returns `None` for fewer than two distinct sizes or non-finite
+/// values.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
     let n = points.len() as f64;
-    let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / n;
-    let (x, y) = (mean(|p| p.0), mean(|p| p.1));
-    let xx: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    let xy: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-    if !(xx > 0.0 && xx.is_finite() && xy.is_finite()) {
+    let mean = |coordinate: fn(&(f64, f64)) -> f64| points.iter().map(coordinate).sum::<f64>() / n;
+    let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
+    let sum_xx: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    let sum_xy: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    if !(sum_xx > 0.0 && sum_xx.is_finite() && sum_xy.is_finite()) {
         return None;
     }
-    let slope = xy / xx;
-    let intercept = y - slope * x;
-    let rest: f64 = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum();
-    let residual = if points.len() > 2 { (rest / (n - 2.0)).sqrt() } else { 0.0 };
-    let slope_error = residual / xx.sqrt();
-    let intercept_error = residual * (1.0 / n + x * x / xx).sqrt();
+    let slope = sum_xy / sum_xx;
+    let intercept = mean_y - slope * mean_x;
+    let squared_residuals: f64 = points.iter().map(|p| (p.1 - intercept - slope * p.0).powi(2)).sum();
+    let residual = if points.len() > 2 { (squared_residuals / (n - 2.0)).sqrt() } else { 0.0 };
+    let slope_error = residual / sum_xx.sqrt();
+    let intercept_error = residual * (1.0 / n + mean_x * mean_x / sum_xx).sqrt();
     Some(Line { slope, intercept, slope_error, intercept_error, residual, points: points.len() })
 }
