--- a/crates/scale-test/src/soak/mod.rs
+++ b/crates/scale-test/src/soak/mod.rs
@@ -1,5 +1,5 @@
-//! A soak of the real program by seed: settings, clients, faults and signals are drawn, and what was seen is checked by
-//! the rules.
+//! Soak test of the real proxy program. The seed determines the settings, the clients, the faults and the
+//! signals; the recorded events are checked against a set of rules.
 
 pub mod backend;
 pub mod client;
@@ -19,35 +19,35 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Where the test's own timers were later than this, the machine was too busy for a verdict.
+/// If one of the test's own timers fires later than this, the machine was too busy for broken rules to count.
 const MAX_OWN_LATENESS: Duration = Duration::from_millis(150);
-/// So many violations of each rule are printed with their timelines.
+/// Maximum number of violations per rule that are printed with their timelines.
 const PRINTED_VIOLATIONS: usize = 2;
-/// So many lines of the log are printed around a violation without a request.
+/// Maximum number of log lines per process in a violation's timeline.
 const PRINTED_LOG_LINES: usize = 40;
 
-/// What came of a seed.
+/// The result of running one seed.
 #[derive(Debug, Serialize)]
 pub struct SeedReport {
-    /// The seed.
+    /// The seed that was run.
     pub seed: u64,
-    /// Requests that were sent completely.
+    /// Number of requests that were sent completely.
     pub requests: usize,
-    /// Requests that were served.
+    /// Number of requests that were answered with status 200.
     pub served: usize,
-    /// The same in each second of the play, by which a stall shows.
+    /// Number of served requests in each second of the run, which makes a stall visible.
     pub served_by_second: Vec<usize>,
-    /// Requests that were rejected.
+    /// Number of requests that were answered with status 429 or 503.
     pub rejected: usize,
-    /// Attempts at backends.
+    /// Number of attempts that backends received completely.
     pub attempts: usize,
-    /// How late the test's own timers were at the most, in milliseconds.
+    /// Largest delay of the test's own timers, in milliseconds.
     pub own_lateness_ms: u128,
-    /// Broken rules, how often.
+    /// Number of violations by rule.
     pub broken: BTreeMap<Rule, usize>,
-    /// The first violations with their timelines.
+    /// The first violations of each rule with their timelines.
     pub details: Vec<String>,
-    /// Whether the machine was too busy for a verdict.
+    /// Whether rules were broken while the machine was too busy for a verdict.
     pub is_void: bool,
 }
 
@@ -114,22 +114,22 @@
     }
 }
 
-/// Plays a seed with a program.
+/// Runs one seed against the proxy program at `program`.
 ///
 /// # Errors
 ///
-/// If it can't be played.
+/// Returns an error if the run can't be set up or carried out.
 pub async fn run(seed: u64, program: &Path) -> anyhow::Result<SeedReport> {
     let plan = SoakPlan::draw(seed);
     let records = play::play(&plan, program).await?;
     Ok(SeedReport::new(&plan, &records))
 }
 
-/// A violation with the timeline around it.
+/// Formats a violation with the timeline of the run.
 fn describe(violation: &Violation, records: &Records) -> String {
     let mut text = format!("{violation}\n");
     for line in timeline(violation.request, records) {
-        // A string takes everything.
+        // Writing to a `String` can't fail.
         let _ = writeln!(text, "    {line}");
     }
     text
@@ -169,7 +169,7 @@
     events.into_iter().map(|(at, text)| format!("{:>9.4} s  {text}", at.as_secs_f64())).collect()
 }
 
-/// Whether a line of the log is about one request: it begins with its id.
+/// Returns whether a log line concerns a single request: the word after the program's name is a request id.
 fn names_a_request(line: &str) -> bool {
     let word = line.split(' ').nth(1).unwrap_or_default();
     word.len() == 16 && RequestId::from_str_radix(word, 16).is_ok()
--- a/crates/scale-test/src/soak/plan.rs
+++ b/crates/scale-test/src/soak/plan.rs
@@ -1,4 +1,5 @@
-//! What a seed plays: the proxy's settings, the clients, and a schedule of faults and signals.
+//! The plan of a soak run, drawn from a seed: the proxy's settings, the clients, and the schedule of faults
+//! and signals.
 
 use super::record::Idempotency;
 use rand::rngs::StdRng;
@@ -10,258 +11,260 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Time of the load before the first fault.
+/// Time between the start of the load and the earliest fault.
 const QUIET_START: Duration = Duration::from_millis(500);
-/// A stop follows so long after the last scheduled fault.
+/// Time between the start of the load and the stop of the proxy; all faults are scheduled before the stop.
 const TRAFFIC_TIME: Duration = Duration::from_millis(8000);
-/// SIGKILL follows SIGTERM no sooner than the longest deadline, counted as this where it is shorter ...
+/// SIGKILL follows SIGTERM after the longest deadline of a class, but at least after this time, plus
+/// `KILL_MARGIN`.
 const LEAST_LONGEST_DEADLINE: Duration = Duration::from_secs(3);
-/// ... and this.
+/// Added to the longest deadline before SIGKILL is sent.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
-/// A class of requests.
+/// A request class.
 #[derive(Debug, Clone, Serialize)]
 pub struct SoakClass {
-    /// Its name, the first part of the path.
+    /// The name of the class, which is the first segment of the request path.
     pub name: &'static str,
-    /// What it allows.
+    /// Whether requests of the class may be repeated.
     pub idempotency: Idempotency,
-    /// How long its clients wait.
+    /// The time for which its clients wait for a response.
     pub deadline: Duration,
 }
 
-/// The settings that are drawn.
+/// The proxy settings that a seed determines.
 #[derive(Debug, Clone, Serialize)]
 pub struct SoakSettings {
-    /// The classes.
+    /// The request classes.
     pub classes: Vec<SoakClass>,
     /// Names of the tenants.
     pub tenants: Vec<&'static str>,
     /// Names of the zones.
     pub zones: Vec<&'static str>,
-    /// Whether the list is polled.
+    /// Whether the endpoint list is polled instead of watched.
     pub is_polled: bool,
-    /// Within this the list is polled.
+    /// Longest interval between two polls of the endpoint list.
     pub poll_within: Duration,
-    /// A draining backend may be sent to for so long.
+    /// Time for which requests may still be sent to a draining backend.
     pub drain_deadline: Duration,
-    /// How long a backend warms up.
+    /// Time that a backend takes to warm up.
     pub warm_up: Duration,
-    /// Share of its capacity that it starts with.
+    /// Fraction of its capacity that a cold backend starts with.
     pub initial_capacity: f64,
-    /// Multiple of its capacity that overloads it ...
+    /// A backend is overloaded by this multiple of its capacity within `overload_span`.
     pub overload_multiple: f64,
-    /// ... in so long.
+    /// The time over which `overload_multiple` is measured.
     pub overload_span: Duration,
-    /// Repeats by a key are dropped for so long.
+    /// Time for which repeated requests with the same idempotency key are dropped.
     pub deduplication_window: Duration,
-    /// Most attempts for a request.
+    /// Maximum number of attempts for a request.
     pub max_attempts: u32,
-    /// Whether attempts may be cancelled.
+    /// Whether the proxy may cancel attempts.
     pub can_cancel: bool,
-    /// Whether two attempts may run at once.
+    /// Whether the proxy may send hedged requests.
     pub can_hedge: bool,
-    /// Whether clients are told when to come back.
+    /// Whether rejections carry a `Retry-After` header.
     pub sends_retry_after: bool,
-    /// Connections to backends are closed there after being idle for so long.
+    /// Time after which idle connections to backends are closed.
     pub connection_idle: Duration,
-    /// A connection to a backend comes up within this.
+    /// Timeout for connecting to a backend.
     pub connect_timeout: Duration,
-    /// Descriptors of the proxy.
+    /// Limit of file descriptors for the proxy.
     pub max_descriptors: usize,
-    /// Memory of the proxy.
+    /// Memory limit of the proxy in bytes.
     pub memory_bytes: u64,
 }
 
-/// What a backend does with requests.
+/// How a backend handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum BackendBehavior {
-    /// Serves.
+    /// Serves each request.
     Serve,
-    /// Takes requests and answers nothing.
+    /// Reads requests and sends no response.
     Hang,
-    /// Resets the connection once it has the request.
+    /// Resets the connection after it has read the request.
     Reset,
-    /// Ends the connection in the middle of its answer.
+    /// Resets the connection in the middle of the response.
     HalfAnswer,
-    /// Sends more than belongs to its answer.
+    /// Sends extra bytes after the response.
     TooMuch,
-    /// Begins an answer that has no end.
+    /// Sends a response body one byte at a time, too slowly for it to be completed.
     Endless,
-    /// Sends its answer again some milliseconds later.
+    /// Sends the response a second time after a few milliseconds.
     StrayAnswer,
-    /// Takes several times as long.
+    /// Takes several times the usual service time.
     Slow,
-    /// Answers an error.
+    /// Responds with status 500.
     Fail,
-    /// Declines.
+    /// Declines the request with status 503 and `Srv-Declined: 1`.
     Decline,
 }
 
-/// How discovery's agent answers.
+/// How the discovery agent responds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum DiscoveryBehavior {
-    /// At once.
+    /// Responds at once.
     Answer,
-    /// It takes no connection.
+    /// Refuses connections.
     Refuse,
-    /// It takes calls and answers none.
+    /// Reads requests and sends no response.
     Hang,
-    /// It answers late.
+    /// Responds after a delay.
     Slow,
-    /// It ends each connection at its call.
+    /// Closes each connection on its next request.
     Reset,
-    /// It answers with a list of long ago.
+    /// Responds with the endpoint list of the start.
     OldList,
 }
 
-/// What happens at some time.
+/// A scheduled fault, signal or operator action.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum SoakEvent {
-    /// A backend behaves otherwise for a while.
+    /// A backend changes its behavior for some time.
     Backend {
-        /// Its number.
+        /// The backend's number.
         backend: usize,
-        /// What it does.
+        /// The behavior.
         behavior: BackendBehavior,
-        /// For how long.
+        /// The duration of the behavior.
         lasts: Duration,
     },
-    /// A backend drains and is gone some time later.
+    /// A backend is listed as draining and is removed some time later.
     Drain {
-        /// Its number.
+        /// The backend's number.
         backend: usize,
-        /// When it is gone.
+        /// The time from the start of the drain to the removal.
         gone_after: Duration,
     },
-    /// A backend's process ends at once and comes back cold.
+    /// A backend's process ends without notice and restarts cold.
     Crash {
-        /// Its number.
+        /// The backend's number.
         backend: usize,
-        /// When it is back.
+        /// The time until the restart.
         back_after: Duration,
     },
-    /// Discovery behaves otherwise for a while.
+    /// Discovery changes its behavior for some time.
     Discovery {
-        /// What it does.
+        /// The behavior.
         behavior: DiscoveryBehavior,
-        /// For how long.
+        /// The duration of the behavior.
         lasts: Duration,
     },
-    /// The configuration is replaced and SIGHUP sent, several times in a row.
+    /// The configuration is replaced and SIGHUP is sent, one or more times.
     Reload {
-        /// How often.
+        /// The number of reloads.
         count: u32,
-        /// With this between them.
+        /// The pause after each reload.
         gap: Duration,
     },
-    /// A new process is started beside the old one, which is then told to end.
+    /// A new process is started beside the old one, which is then stopped with SIGTERM.
     Upgrade {
-        /// The new process is told to end so soon after its start, in place of the old one.
+        /// If set, the new process instead of the old one is stopped, this long after its start.
         abandoned_after: Option<Duration>,
     },
-    /// The operators drain the proxy and activate it again.
+    /// The proxy is drained through the admin API and activated again.
     DrainProxy {
-        /// When it is activated.
+        /// The time until the proxy is activated.
         active_after: Duration,
     },
-    /// The operators suspend a backend and resume it.
+    /// A backend is suspended through the admin API and resumed.
     Suspend {
-        /// Its number.
+        /// The backend's number.
         backend: usize,
-        /// When it is resumed.
+        /// The time until the backend is resumed.
         resumed_after: Duration,
     },
 }
 
-/// Clients that fill the proxy.
+/// What the clients of a crowd do while they use up the proxy's connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum CrowdKind {
-    /// They connect and send nothing.
+    /// Connect and send nothing.
     Idle,
-    /// They send half a head.
+    /// Connect and send an incomplete request head.
     HalfOpen,
-    /// They send again at once.
+    /// Send requests with almost no pause.
     Busy,
 }
 
-/// A crowd.
+/// A crowd: as many clients as the proxy has file descriptors.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct CrowdPlan {
-    /// What its clients do.
+    /// What the clients of the crowd do.
     pub kind: CrowdKind,
-    /// How many there are.
+    /// The number of clients.
     pub clients: usize,
-    /// When it comes.
+    /// When the crowd connects, relative to the start of the load.
     pub from: Duration,
-    /// When it goes, which may be after the stop.
+    /// When the crowd disconnects, which may be after the stop of the proxy.
     pub until: Duration,
 }
 
-/// What most clients do, as shares of their requests.
+/// The regular clients, and the probabilities of what they do with a request.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ClientPlan {
-    /// Clients that send requests in turn.
+    /// The number of clients, each of which sends one request after the other.
     pub clients: usize,
-    /// Longest pause between two requests.
+    /// Longest pause between two requests of a client.
     pub pause: Duration,
-    /// Leave before the answer.
+    /// Probability that a client disconnects before the response.
     pub leaving: f64,
-    /// Write slowly.
+    /// Probability that a client writes its request slowly.
     pub slow: f64,
-    /// Stop in the middle and stay.
+    /// Probability that a client sends an incomplete request head and keeps the connection open.
     pub stopping: f64,
-    /// Send two requests at once.
+    /// Probability that a client pipelines two requests.
     pub pipelining: f64,
-    /// Send again at once when they are rejected.
+    /// Probability that a rejected client sends its next request without a pause.
     pub retrying: f64,
 }
 
-/// How the play ends.
+/// How the proxy is stopped at the end of a run.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct StopPlan {
-    /// SIGHUP comes so shortly before SIGTERM.
+    /// If set, SIGHUP is sent this long before SIGTERM.
     pub reload_before: Option<Duration>,
-    /// SIGTERM comes again so shortly after.
+    /// If set, SIGTERM is sent a second time after this time.
     pub terminate_again: Option<Duration>,
 }
 
-/// An event and its time.
+/// An event with its time.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ScheduledEvent {
-    /// When, since the load began.
+    /// The time since the start of the load.
     pub at: Duration,
-    /// What.
+    /// The event.
     pub event: SoakEvent,
 }
 
-/// Tells the random numbers of torn reloads from the others of a seed.
+/// Combined with the seed, gives torn reloads a random stream of their own.
 const TORN_RELOAD_STREAM: u64 = 0x746f_726e;
 
-/// What a seed plays.
+/// The plan of one soak run.
 #[derive(Debug, Clone, Serialize)]
 pub struct SoakPlan {
-    /// The seed.
+    /// The seed from which the plan is drawn.
     pub seed: u64,
     /// The proxy's settings.
     pub settings: SoakSettings,
-    /// How many backends there are.
+    /// The number of backends.
     pub backends: usize,
-    /// Time of a warm backend for a request.
+    /// The time that a warm backend takes for a request.
     pub service_time: Duration,
-    /// Requests that a backend serves at once.
+    /// The number of requests that a backend serves concurrently.
     pub concurrency: usize,
-    /// The clients.
+    /// The regular clients.
     pub clients: ClientPlan,
-    /// The crowd, in some plays.
+    /// The crowd, which only some runs have.
     pub crowd: Option<CrowdPlan>,
-    /// The events in order of time.
+    /// The events, ordered by time.
     pub events: Vec<ScheduledEvent>,
-    /// When the proxy is told to end.
+    /// When the proxy is sent SIGTERM, relative to the start of the load.
     pub stop_at: Duration,
-    /// How.
+    /// How the proxy is stopped.
     pub stop: StopPlan,
-    /// The last configuration of a row is half written at its signal, and whole so long after.
+    /// If set, the configuration file of the last reload in a series is half written when SIGHUP is sent, and
+    /// complete after this time.
     pub torn_reload: Option<Duration>,
 }
 
@@ -315,17 +318,17 @@
         }
     }
 
-    /// The longest deadline of a class.
+    /// Returns the longest deadline of any class.
     pub fn longest_deadline(&self) -> Duration {
         self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// The earliest time of a kill after SIGTERM.
+    /// Returns the time between SIGTERM and SIGKILL.
     pub fn kill_after(&self) -> Duration {
         self.longest_deadline().max(LEAST_LONGEST_DEADLINE) + KILL_MARGIN
     }
 
-    /// The settings as the proxy's configuration has them.
+    /// Returns the settings in the format of the proxy's configuration file.
     pub fn to_json(&self) -> Value {
         let milliseconds = |duration: Duration| duration.as_secs_f64() * 1000.0;
         let class = |class: &SoakClass| {
@@ -358,7 +361,7 @@
 }
 
 impl SoakPlan {
-    /// Draws a play.
+    /// Draws the plan of a seed.
     pub fn draw(seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let random = &mut random;
@@ -401,7 +404,7 @@
     }
 }
 
-/// From random numbers of its own, so that all else of a seed stays what it was.
+/// Draws from a separate random stream, so that the rest of a seed's plan does not depend on it.
 fn draw_torn_reload(seed: u64) -> Option<Duration> {
     let random = &mut StdRng::seed_from_u64(seed ^ TORN_RELOAD_STREAM);
     random.random_bool(0.5).then(|| millis(random, 20, 1500))
@@ -413,7 +416,7 @@
     }
     let kind = *[CrowdKind::Idle, CrowdKind::HalfOpen, CrowdKind::Busy].choose(random)?;
     let from = millis(random, 500, 5000);
-    // Some stay during the stop.
+    // Half of the crowds stay until the end of the run, that is, through the stop of the proxy.
     let until = if random.random_bool(0.5) { from + millis(random, 1000, 3000) } else { stop_at * 2 };
     Some(CrowdPlan { kind, clients: settings.max_descriptors, from, until })
 }
@@ -444,11 +447,11 @@
     *[Refuse, Hang, Slow, Reset, OldList].choose(random).unwrap_or(&Hang)
 }
 
-/// Signals come in series.
+/// Draws reloads, an upgrade and drains of the proxy.
 fn draw_signals(random: &mut StdRng, stop_at: Duration) -> Vec<ScheduledEvent> {
     let mut events = Vec::new();
     let mut add = |random: &mut StdRng, event| {
-        // An upgrade has to be over before the stop.
+        // An upgrade must be complete before the proxy is stopped.
         let at = random.random_range(QUIET_START..stop_at / 2);
         events.push(ScheduledEvent { at, event });
     };
@@ -467,7 +470,8 @@
     events
 }
 
-/// The loopback address on which all of a play listen: plays beside each other must not take each other's ports.
+/// Returns the loopback address on which everything in a run listens. It depends on the process id and the
+/// seed, so that concurrent runs don't take each other's ports.
 pub fn play_address(seed: u64) -> Ipv4Addr {
     let [process, ..] = std::process::id().to_le_bytes();
     let [.., high, low] = (seed % (1 << 16)).to_be_bytes();
