--- a/crates/scale-test/src/soak/backend.rs
+++ b/crates/scale-test/src/soak/backend.rs
@@ -1,4 +1,4 @@
-//! Backends that do with each request what their present behavior says, byte by byte.
+//! Simulated backends that read and write HTTP directly on the socket, according to their current behavior.
 
 use super::plan::{BackendBehavior, SoakPlan, play_address};
 use super::record::{AttemptEffect, AttemptRecord, ColdStart, Recorder, RequestId};
@@ -14,20 +14,20 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// A slow backend takes so many times as long.
+/// A slow backend multiplies its service time by this factor.
 const SLOWDOWN: u32 = 8;
-/// A stray second answer comes so long after the first.
+/// Delay between a response and its stray copy.
 const STRAY_DELAY: Duration = Duration::from_millis(3);
-/// Pause between two bytes of an answer without an end.
+/// Interval between two bytes of a response that is not completed in time.
 const TRICKLE: Duration = Duration::from_millis(20);
-/// Longest request head and body that a backend reads.
+/// Maximum size of a request head and body together.
 const MAX_REQUEST_BYTES: usize = 1 << 16;
 
-/// A backend.
+/// A simulated backend.
 pub struct Backend {
-    /// Its name at discovery.
+    /// The name under which discovery lists the backend.
     pub name: String,
-    /// Where it listens, also after a restart.
+    /// The address on which the backend listens; a restart keeps it.
     pub address: SocketAddr,
     state: Mutex<BackendState>,
     service_time: Duration,
@@ -40,14 +40,14 @@
 
 struct BackendState {
     behavior: BackendBehavior,
-    /// When its process started, if that was in this play.
+    /// When the backend was restarted; `None` for a backend that has been warm from the start.
     started_at: Option<Duration>,
-    /// The process: its end resets all connections.
+    /// The tasks that stand for the backend's process; aborting them resets all connections.
     process: JoinSet<()>,
 }
 
 impl Backend {
-    /// Starts a backend that is warm.
+    /// Starts a warm backend.
     pub async fn start(number: usize, plan: &SoakPlan, recorder: Recorder) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind((play_address(plan.seed), 0)).await?;
         let state =
@@ -67,18 +67,18 @@
         Ok(backend)
     }
 
-    /// Behaves so from now on.
+    /// Sets the behavior for the requests that follow.
     pub fn behave(&self, behavior: BackendBehavior) {
         self.with_state(|state| state.behavior = behavior);
     }
 
-    /// Ends its process: its connections are reset, new ones refused.
+    /// Ends the backend's process: open connections are reset and new ones refused.
     pub async fn crash(&self) {
         let mut process = self.with_state(|state| std::mem::take(&mut state.process));
         process.shutdown().await;
     }
 
-    /// Starts its process again, cold.
+    /// Restarts the backend's process, which is cold.
     pub async fn restart(self: &Arc<Self>) -> io::Result<()> {
         let listener = TcpListener::bind(self.address).await?;
         let at = self.recorder.now();
@@ -103,9 +103,9 @@
             while let Ok((stream, _)) = listener.accept().await {
                 let backend = backend.clone();
                 connections.spawn(async move {
-                    // Its end is a reset, as when a process ends.
+                    // Closing the socket sends a reset, as the end of a process does.
                     let _ = stream.set_zero_linger();
-                    // A client that goes is not the backend's concern.
+                    // A disconnect by the proxy is not an error of the backend.
                     let _ = backend.serve(stream).await;
                 });
             }
@@ -129,7 +129,7 @@
         Ok(())
     }
 
-    /// Answers, and tells whether the connection goes on.
+    /// Sends the response. Returns whether the connection stays open.
     async fn answer(
         &self,
         stream: &mut TcpStream,
@@ -139,7 +139,7 @@
         let served = response("200 OK", "", &request.body());
         match behavior {
             BackendBehavior::Hang => {
-                // Until the other side gives up.
+                // Waits until the proxy closes the connection.
                 stream.read_u8().await.ok();
                 return Ok(false);
             }
@@ -149,7 +149,8 @@
                 return Ok(false);
             }
             BackendBehavior::Endless => {
-                // As long as the protocol allows: a longer one would be passed on as it comes.
+                // The longest body that the proxy buffers whole; a longer one would be streamed to the
+                // client.
                 stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n").await?;
                 loop {
                     stream.write_all(b"x").await?;
@@ -189,7 +190,7 @@
         sleep((self.service_time * slowdown).div_f64(capacity)).await;
     }
 
-    /// Share of its capacity that it has warmed up to.
+    /// Returns the fraction of its capacity that the backend has warmed up to.
     fn capacity_fraction(&self) -> f64 {
         let Some(started_at) = self.with_state(|state| state.started_at) else { return 1.0 };
         let age = self.recorder.now().saturating_sub(started_at).as_secs_f64();
@@ -209,7 +210,8 @@
         self.recorder.records().attempts.push(attempt);
     }
 
-    /// Reads a request; none if the connection ends before its last byte.
+    /// Reads a request. Returns `None` if the connection ends before the last byte or the request is too
+    /// long.
     async fn read_request(&self, stream: &mut TcpStream) -> io::Result<Option<ReceivedRequest>> {
         let mut bytes = Vec::new();
         let mut first_byte_at = None;
@@ -225,7 +227,7 @@
     }
 }
 
-/// A request that has come completely.
+/// A request that was received completely.
 struct ReceivedRequest {
     id: RequestId,
     told_deadline: Option<Duration>,
@@ -252,7 +254,7 @@
         })
     }
 
-    /// The body of its answer, by which its client knows it.
+    /// Returns the body of the response, by which the client recognizes the response to its request.
     fn body(&self) -> String {
         format!("{:016x}", self.id)
     }
--- a/crates/scale-test/src/soak/client.rs
+++ b/crates/scale-test/src/soak/client.rs
@@ -1,4 +1,5 @@
-//! Clients: those that send requests in turn, with all that clients do, and those of a crowd.
+//! Clients of the proxy: regular clients, which send requests, disconnect, stall or pipeline, and the clients
+//! of a crowd.
 
 use super::plan::{ClientPlan, CrowdKind, SoakClass, SoakSettings};
 use super::record::{Idempotency, ImproperRecord, Outcome, Recorder, RequestId, RequestRecord};
@@ -15,45 +16,45 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// So long after its deadline a client gives a request up.
+/// A client stops waiting for a response this long after the deadline.
 const PATIENCE: Duration = Duration::from_millis(1500);
-/// A client that stopped in the middle waits so long for its error or close.
+/// A client that sent an incomplete request waits this long for an error response or a close.
 const IMPROPER_PATIENCE: Duration = Duration::from_secs(5);
-/// Pause after a connect that was refused.
+/// Pause after a failed connect.
 const REFUSED_PAUSE: Duration = Duration::from_millis(20);
-/// Pause of a busy client of a crowd.
+/// Pause between the requests of a busy crowd client.
 const BUSY_PAUSE: Duration = Duration::from_millis(2);
-/// Longest answer that a client reads.
+/// Maximum size of a response.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
-/// First id of a crowd's requests.
+/// First request id of a crowd; regular clients use the ids below it.
 const CROWD_FIRST_ID: RequestId = 1 << 32;
-/// Pieces of a request that is written slowly.
+/// Number of pieces in which a slow client writes its request.
 const SLOW_PIECES: usize = 4;
 
-/// What all clients share.
+/// The state that all clients share.
 pub struct Clients {
-    /// Where the proxy listens.
+    /// The address on which the proxy listens.
     pub address: SocketAddr,
-    /// The classes and tenants.
+    /// The settings, from which classes and tenants are drawn.
     pub settings: SoakSettings,
-    /// What they do.
+    /// The probabilities of what the clients do.
     pub plan: ClientPlan,
-    /// Where they record it.
+    /// Records the requests and their outcomes.
     pub recorder: Recorder,
-    /// Whether the play is over.
+    /// Whether the clients are to stop.
     pub is_over: watch::Receiver<bool>,
     next_id: AtomicU64,
 }
 
-/// A connection of a client.
+/// A client's connection to the proxy.
 struct Connection {
     stream: TcpStream,
-    /// Bytes that came and were not used.
+    /// Bytes that were received and not yet parsed.
     unread: Vec<u8>,
     requests: usize,
 }
 
-/// A request to be sent.
+/// A request that is ready to be sent.
 struct Request {
     id: RequestId,
     text: String,
@@ -70,25 +71,25 @@
     Pipeline,
 }
 
-/// An answer that came whole.
+/// A complete response.
 struct Answer {
     status: u16,
     body: Vec<u8>,
     closes: bool,
 }
 
-/// Why no whole answer came.
+/// The reason why no complete response was received.
 enum AnswerError {
-    /// The connection ended before a byte of it.
+    /// The connection ended before the first byte.
     Closed,
-    /// It ended in the middle.
+    /// The connection ended in the middle of the response.
     Broken,
-    /// Nothing came in time.
+    /// The response was not complete in time.
     TimedOut,
 }
 
 impl Clients {
-    /// Clients of a proxy.
+    /// Creates the shared state of clients of the proxy at `address`.
     pub fn new(
         address: SocketAddr,
         settings: SoakSettings,
@@ -104,7 +105,7 @@
         *self.is_over.borrow()
     }
 
-    /// Sends requests in turn until the play is over.
+    /// Sends one request after the other until the clients are to stop.
     pub async fn run(self: Arc<Self>, mut random: StdRng) {
         let mut connection = None;
         while !self.is_over() {
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Sends a request, or two at once, and sees to what comes; whether the last was rejected.
+    /// Sends a request, or two pipelined ones, and receives the responses. Returns whether the last response
+    /// was a rejection.
     async fn send_requests(
         &self,
         kept: &mut Option<Connection>,
@@ -161,7 +163,7 @@
             _ => connection.stream.write_all(text.as_bytes()).await,
         };
         if written.is_err() {
-            // What was not written completely is not owed an answer.
+            // The proxy owes no response to a request that was not written completely.
             return false;
         }
         self.record_complete(&requests);
@@ -177,7 +179,7 @@
             let answer = self.await_answer(&mut connection, request).await;
             was_rejected = answer.as_ref().is_some_and(|answer| matches!(answer.status, 429 | 503));
             if answer.is_none_or(|answer| answer.closes) {
-                // With the connection, those behind it end unanswered.
+                // The requests behind it on the connection get no response.
                 let at = self.recorder.now();
                 waiting.for_each(|request| self.record_outcome(request, Outcome::Closed { at }));
                 return was_rejected;
@@ -187,14 +189,14 @@
         was_rejected
     }
 
-    /// The kept connection, or a new one; none where nobody listens.
+    /// Returns the kept connection or a new one, or `None` if the connect fails.
     async fn connection(&self, kept: &mut Option<Connection>) -> Option<Connection> {
         if let Some(connection) = kept.take() {
             return Some(connection);
         }
         match TcpStream::connect(self.address).await {
             Ok(stream) => {
-                // It only makes requests quicker.
+                // Without `TCP_NODELAY` requests are slower, but still valid.
                 let _ = stream.set_nodelay(true);
                 Some(Connection { stream, unread: Vec::new(), requests: 0 })
             }
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Waits for the answer to a request and records how it ended.
+    /// Waits for the response to a request and records the outcome.
     async fn await_answer(&self, connection: &mut Connection, request: &Request) -> Option<Answer> {
         let patience = request.deadline + PATIENCE;
         let answer = timeout(patience, read_answer(connection)).await;
@@ -267,12 +269,12 @@
         }
     }
 
-    /// Connects, sends half a head, and stays.
+    /// Connects, sends an incomplete request head, and waits for an error response or a close.
     async fn stop_in_the_middle(&self) {
         self.send_improper("GET /look HTTP/1.1\r\nHost: o\r\nReq-Id: 1").await;
     }
 
-    /// Connects, sends what is no request, and waits for an error or a close.
+    /// Connects, sends `text`, which is not a complete request, and waits for an error response or a close.
     async fn send_improper(&self, text: &str) {
         let Ok(mut stream) = TcpStream::connect(self.address).await else {
             return sleep(REFUSED_PAUSE).await;
@@ -280,21 +282,21 @@
         let connected_at = self.recorder.now();
         let mut is_over = self.is_over.clone();
         let ended = async {
-            // One that is reset has ended, too.
+            // A reset counts as a close, so errors are ignored.
             let _ = stream.write_all(text.as_bytes()).await;
             let _ = stream.read(&mut [0; 256]).await;
         };
         let ended_at = tokio::select! {
             ended = timeout(IMPROPER_PATIENCE, ended) => ended.is_ok().then(|| self.recorder.now()),
-            // It is not known how long it would have taken.
+            // The run is over: the proxy's time for its error response or close is cut short.
             _ = async { is_over.wait_for(|is_over| *is_over).await.is_ok() } => return,
         };
         self.recorder.records().improper.push(ImproperRecord { connected_at, ended_at });
     }
 
-    /// The same clients' requests and records, over at another time.
+    /// Returns shared state with the same settings and recorder and another end.
     pub fn with_end(&self, is_over: watch::Receiver<bool>) -> Arc<Self> {
-        // Ids of their own, above all that the others may come to.
+        // A separate range of ids, above all ids of the regular clients.
         let next_id = AtomicU64::new(CROWD_FIRST_ID);
         Arc::new(Clients {
             address: self.address,
@@ -306,7 +308,7 @@
         })
     }
 
-    /// A client of a crowd: it comes again at once when it is shut out.
+    /// Runs a client of a crowd, which reconnects as soon as its connection has ended.
     pub async fn crowd(self: Arc<Self>, kind: CrowdKind, mut random: StdRng) {
         let mut connection = None;
         while !self.is_over() {
@@ -347,7 +349,7 @@
     Ok(())
 }
 
-/// Reads an answer that tells its length.
+/// Reads a response, whose body is delimited by `Content-Length`.
 async fn read_answer(connection: &mut Connection) -> Result<Answer, AnswerError> {
     loop {
         if let Some(answer) = take_answer(&mut connection.unread) {
