--- a/crates/scale-test/src/soak/play.rs
+++ b/crates/scale-test/src/soak/play.rs
@@ -1,4 +1,4 @@
-//! One seed played: backends, discovery, the real program, clients, and what the schedule brings.
+//! Runs the plan of one seed: backends, discovery, the real proxy program, clients, and the scheduled events.
 
 use super::backend::Backend;
 use super::client::Clients;
@@ -19,33 +19,34 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
-/// A process is reloaded no sooner than this after its start.
+/// Delay before a series of reloads, so that no process is reloaded sooner than this after its start.
 const LEAST_AGE_FOR_RELOAD: Duration = Duration::from_secs(1);
-/// So many backends at the least take requests all the time.
+/// Minimum number of backends that neither drain nor crash in a run.
 const LEAST_BACKENDS: usize = 2;
-/// The list tells of a backend that is back so long after it is.
+/// Delay between the restart of a backend and its entry in the endpoint list.
 const NOTICE_OF_RESTART: Duration = Duration::from_millis(50);
 
-/// A play that runs.
+/// A soak run in progress.
 struct Play {
     plan: SoakPlan,
     recorder: Recorder,
     backends: Vec<Arc<Backend>>,
     discovery: Arc<Discovery>,
     instance: Arc<ProxyInstance>,
-    /// Backends that drain or crash in this play.
+    /// Numbers of the backends that drain or crash in this run.
     withdrawn: Mutex<HashSet<usize>>,
-    /// The processes whose descriptors and memory are counted.
+    /// Ids of the processes whose descriptors and memory are sampled.
     pids: Arc<Mutex<Vec<Pid>>>,
 }
 
-/// Plays a seed with the real program.
+/// Runs a plan against the real proxy program and returns what was recorded.
 ///
 /// # Errors
 ///
-/// If the stand-ins or the program can't be started.
+/// Returns an error if the backends, discovery or the program can't be started, or if a configuration file
+/// can't be written.
 pub async fn play(plan: &SoakPlan, program: &Path) -> anyhow::Result<Records> {
-    let folder = tempfile::tempdir().context("folder for temporary files")?;
+    let folder = tempfile::tempdir().context("creating a temporary directory")?;
     let recorder = Recorder::start();
     let mut tasks = JoinSet::new();
     let mut backends = Vec::new();
@@ -121,7 +122,7 @@
         Ok(())
     }
 
-    /// Random numbers of a part of the play, apart from the others'.
+    /// Returns the random stream of one part of the run; each part has its own.
     fn random(&self, part: u64) -> StdRng {
         StdRng::seed_from_u64(self.plan.seed.wrapping_mul(1 << 16).wrapping_add(part + 1))
     }
@@ -141,7 +142,7 @@
         let crowd_clients = clients.with_end(is_over);
         let mut members = JoinSet::new();
         for number in 0..crowd.clients {
-            // Numbers of their own, after the clients'.
+            // The streams after those of the regular clients.
             let random = self.random((1 << 8) + number as u64);
             members.spawn(crowd_clients.clone().crowd(crowd.kind, random));
         }
@@ -154,7 +155,7 @@
         while members.join_next().await.is_some() {}
     }
 
-    /// Faults of backends and of discovery run beside each other.
+    /// Spawns one task per fault, because faults of backends and of discovery overlap.
     fn schedule_faults(self: &Arc<Self>, begun_at: Duration, tasks: &mut JoinSet<()>) {
         for scheduled in &self.plan.events {
             let (play, at, event) = (self.clone(), begun_at + scheduled.at, scheduled.event);
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Whether a backend may be withdrawn: each once, and some stay.
+    /// Marks a backend as withdrawn. Returns whether it may be: each backend is withdrawn at most once, and
+    /// `LEAST_BACKENDS` never are.
     fn withdraw(&self, backend: usize) -> bool {
         let Ok(mut withdrawn) = self.withdrawn.lock() else { return false };
         withdrawn.len() + LEAST_BACKENDS < self.backends.len() && withdrawn.insert(backend)
@@ -222,14 +224,15 @@
         sleep(back_after).await;
         let started_at_ms = unix_ms();
         if let Err(error) = backend.restart().await {
-            tracing::warn!("{}: does not come back: {error}", backend.name);
+            tracing::warn!("{}: backend failed to restart: {error}", backend.name);
             return;
         }
         sleep(NOTICE_OF_RESTART).await;
         self.discovery.publish(host(backend, self.zone(number), "SERVING", started_at_ms));
     }
 
-    /// What operators do goes one after the other; returns the process that serves at the end.
+    /// Runs signals, upgrades and admin calls one after the other. Returns the process that serves at the
+    /// end.
     async fn run_signals(
         self: &Arc<Self>,
         begun_at: Duration,
@@ -262,7 +265,8 @@
     async fn reload(&self, process: &ProxyProcess, count: u32, gap: Duration) -> anyhow::Result<()> {
         sleep(LEAST_AGE_FOR_RELOAD).await;
         for number in 1..=count {
-            // The last of a row: one that is replaced as soon as it is whole can't be put in force.
+            // Only the last file of a series is torn: one that the next reload replaces as soon as it is
+            // complete can't take effect.
             match self.plan.torn_reload.filter(|_| number == count) {
                 Some(whole_after) => self.instance.reload_torn(process, whole_after).await?,
                 None => self.instance.reload(process).await?,
@@ -272,7 +276,8 @@
         Ok(())
     }
 
-    /// Starts a process beside the old one. It takes over, or is told to end at once.
+    /// Starts a process beside the old one. It takes over, or is stopped after `abandoned_after`. Returns the
+    /// process that continues.
     async fn upgrade(
         &self,
         mut old: ProxyProcess,
@@ -305,7 +310,7 @@
         self.instance.call_admin(process, "POST", &format!("/v1/backends/{name}/resume")).await;
     }
 
-    /// Tells the program to end as the plan says. Clients go on until it has ended or is killed.
+    /// Stops the program as planned. The clients continue until it has exited or was killed.
     async fn stop(&self, mut process: ProxyProcess) -> anyhow::Result<()> {
         if let Some(before) = self.plan.stop.reload_before {
             self.instance.reload(&process).await?;
--- a/crates/scale-test/src/soak/process.rs
+++ b/crates/scale-test/src/soak/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the real program: start, signals, log, admin API, what they hold.
+//! Processes of the real proxy program: their start, signals, log, admin API and resource usage.
 
 use super::plan::{SoakSettings, play_address};
 use super::record::{AdminCall, ProcessRecord, Recorder, ReloadRecord, UsageSample};
@@ -17,18 +17,18 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Pause between two looks at what processes hold.
+/// Pause between two samples of the processes' resource usage.
 const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// An admin call that takes longer is given up.
+/// Timeout of a call to the admin API.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause between two questions whether a process is ready.
+/// Pause between two readiness checks of a process.
 const READY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What all processes of the proxy share.
+/// The instance of the proxy, whose processes share an address, a folder and the settings.
 pub struct ProxyInstance {
-    /// The program.
+    /// The path of the proxy program.
     pub program: PathBuf,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub address: SocketAddr,
     folder: PathBuf,
     seed: u64,
@@ -38,19 +38,19 @@
     recorder: Recorder,
 }
 
-/// A process of the proxy.
+/// A process of the proxy instance.
 pub struct ProxyProcess {
     number: usize,
     pid: Pid,
     admin: SocketAddr,
     config_path: PathBuf,
     has_ended: watch::Receiver<bool>,
-    /// Asks for a kill.
+    /// Requests a SIGKILL.
     kill: Arc<tokio::sync::Notify>,
 }
 
 impl ProxyInstance {
-    /// An instance without a process, at a port that is free.
+    /// Creates an instance without processes on a free port.
     pub async fn new(
         program: &Path,
         folder: &Path,
@@ -72,7 +72,8 @@
         }))
     }
 
-    /// A further configuration, which names discovery's other address.
+    /// Returns a configuration with the next version. The versions alternate between discovery's two
+    /// addresses.
     fn next_config(&self, admin: SocketAddr) -> Value {
         let version = self.config_version.fetch_add(1, Relaxed) + 1;
         let discovery = self.discovery[version as usize % self.discovery.len()];
@@ -83,7 +84,7 @@
                "settings": self.settings.to_json()})
     }
 
-    /// Starts a process. It may still have to become ready.
+    /// Starts a process, without waiting until it is ready.
     pub async fn start(self: &Arc<Self>) -> anyhow::Result<ProxyProcess> {
         let admin = free_address(self.seed).await?;
         let number = self.recorder.records().processes.len();
@@ -105,12 +106,12 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("{}: does not start", self.program.display()))?;
+            .with_context(|| format!("{}: failed to start", self.program.display()))?;
         let record = ProcessRecord { started_at: self.recorder.now(), ..ProcessRecord::default() };
         self.recorder.records().processes.push(record);
-        let id = child.id().ok_or_else(|| anyhow!("ended at once"))?;
-        let pid = Pid::from_raw(i32::try_from(id)?).ok_or_else(|| anyhow!("no process id"))?;
-        let log = child.stderr.take().ok_or_else(|| anyhow!("no log"))?;
+        let id = child.id().ok_or_else(|| anyhow!("the process exited immediately"))?;
+        let pid = Pid::from_raw(i32::try_from(id)?).ok_or_else(|| anyhow!("the process id is 0"))?;
+        let log = child.stderr.take().ok_or_else(|| anyhow!("the process has no stderr pipe"))?;
         tokio::spawn(read_log(self.recorder.clone(), number, log));
         let (ended, has_ended) = watch::channel(false);
         let kill = Arc::new(tokio::sync::Notify::new());
@@ -118,7 +119,7 @@
         Ok(ProxyProcess { number, pid, admin, config_path, has_ended, kill })
     }
 
-    /// Replaces a process's configuration and sends it SIGHUP.
+    /// Replaces the configuration file of a process and sends it SIGHUP.
     pub async fn reload(&self, process: &ProxyProcess) -> anyhow::Result<()> {
         let path = process.config_path.with_extension("new");
         std::fs::write(&path, self.next_config(process.admin).to_string())?;
@@ -127,7 +128,8 @@
         Ok(())
     }
 
-    /// The same with a file that is half written when the signal comes, and whole so long after.
+    /// Reloads like `reload`, but the file is half written when SIGHUP is sent and complete after
+    /// `whole_after`.
     pub async fn reload_torn(&self, process: &ProxyProcess, whole_after: Duration) -> anyhow::Result<()> {
         let text = self.next_config(process.admin).to_string();
         std::fs::write(&process.config_path, &text[..text.len() / 2])?;
@@ -144,7 +146,7 @@
         process.signal(Signal::HUP);
     }
 
-    /// Calls the admin API of a process; whether it said yes.
+    /// Calls the admin API of a process. Returns whether it answered with a 2xx status.
     pub async fn call_admin(&self, process: &ProxyProcess, method: &str, path: &str) -> bool {
         let at = self.recorder.now();
         let status = timeout(ADMIN_TIMEOUT, admin_status(process.admin, method, path)).await;
@@ -157,7 +159,7 @@
         status.is_some_and(|status| (200..300).contains(&status))
     }
 
-    /// Waits until a process is ready, or has ended.
+    /// Waits until a process is ready or has exited.
     pub async fn wait_until_ready(&self, process: &ProxyProcess) {
         while process.is_running() {
             let status = admin_status(process.admin, "GET", "/v1/readyz").await;
@@ -170,14 +172,14 @@
         }
     }
 
-    /// Tells a process to end.
+    /// Sends SIGTERM to a process.
     pub fn terminate(&self, process: &ProxyProcess) {
         let at = self.recorder.now();
         self.recorder.records().processes[process.number].terminated_at.get_or_insert(at);
         process.signal(Signal::TERM);
     }
 
-    /// Waits until a process that was told to end has done so; at the earliest time of a kill it is killed.
+    /// Waits until a process has exited after SIGTERM, and kills it if it has not when SIGKILL is due.
     pub async fn wait_for_end(&self, process: &mut ProxyProcess) {
         let terminated_at = self.recorder.records().processes[process.number].terminated_at;
         let kill_at = terminated_at.unwrap_or_default() + self.settings.kill_after();
@@ -186,12 +188,12 @@
         if !ended {
             self.recorder.records().processes[process.number].was_killed = true;
             process.kill.notify_one();
-            // Killed, it ends whatever it does.
+            // A process can't outlive SIGKILL, so the wait needs no timeout.
             let _ = process.has_ended.wait_for(|has_ended| *has_ended).await;
         }
     }
 
-    /// Looks all the time at what the processes hold together.
+    /// Samples the descriptors and memory of all processes together until the task is aborted.
     pub async fn watch_usage(self: Arc<Self>, pids: Arc<std::sync::Mutex<Vec<Pid>>>) {
         loop {
             let at = self.recorder.now();
@@ -209,32 +211,33 @@
 }
 
 impl ProxyProcess {
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> Pid {
         self.pid
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the process has not exited.
     pub fn is_running(&self) -> bool {
         !*self.has_ended.borrow()
     }
 
     fn signal(&self, signal: Signal) {
         if self.is_running() {
-            // One that ends just now needs no signal.
+            // Sending fails if the process has exited in the meantime.
             let _ = kill_process(self.pid, signal);
         }
     }
 }
 
-/// What a process holds.
+/// The resource usage of a process.
 struct Usage {
     descriptors: usize,
     memory: u64,
 }
 
 impl Usage {
-    /// None if the process has ended, or is still the shell that starts the program.
+    /// Reads the usage of a process. Returns `None` if the process has exited. Before the shell that starts
+    /// the program has replaced itself by it, the values are the shell's.
     fn of(pid: Pid) -> Option<Self> {
         let process = procfs::process::Process::new(pid.as_raw_nonzero().get()).ok()?;
         let descriptors = process.fd_count().ok()?;
@@ -265,7 +268,7 @@
     let status = tokio::select! {
         status = child.wait() => status,
         () = kill.notified() => {
-            // One that has ended needs no kill.
+            // The kill fails only if the process has exited.
             let _ = child.start_kill();
             child.wait().await
         }
@@ -288,5 +291,5 @@
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).await?;
     let text = String::from_utf8_lossy(&answer);
-    Ok(text.split(' ').nth(1).ok_or_else(|| anyhow!("no status"))?.parse()?)
+    Ok(text.split(' ').nth(1).ok_or_else(|| anyhow!("the admin API's response has no status"))?.parse()?)
 }
