--- a/crates/scale-test/src/soak/discovery.rs
+++ b/crates/scale-test/src/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's agent: a versioned endpoint list, and the faults that the schedule brings.
+//! The simulated discovery agent: a versioned endpoint list and the scheduled faults.
 
 use super::plan::{DiscoveryBehavior, play_address};
 use super::record::{DiscoveryOutage, ListAnswer, ListChange, Recorder};
@@ -13,27 +13,27 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Slow discovery takes so long.
+/// Delay of a response while discovery is slow.
 const SLOW_ANSWER: Duration = Duration::from_millis(900);
-/// Pause between the two pieces of an answer.
+/// Pause between the two parts in which a response body is written.
 const PIECE_PAUSE: Duration = Duration::from_millis(5);
-/// Version of the list at the start.
+/// Version of the endpoint list at the start.
 const FIRST_VERSION: u64 = 1;
-/// Longest head of a call.
+/// Maximum size of a request head.
 const MAX_CALL_BYTES: usize = 1 << 14;
 
-/// The endpoint list and how it is answered.
+/// A version of the endpoint list.
 #[derive(Clone)]
 pub struct EndpointList {
     version: u64,
     hosts: Vec<Value>,
-    /// The first one, which an agent with an old list answers.
+    /// The endpoints of the first version, which an agent with an old list returns.
     first_hosts: Vec<Value>,
 }
 
-/// Discovery.
+/// The simulated discovery agent.
 pub struct Discovery {
-    /// Where it answers.
+    /// The addresses on which the agent listens.
     pub addresses: [SocketAddr; 2],
     list: watch::Sender<EndpointList>,
     behavior: watch::Sender<DiscoveryBehavior>,
@@ -41,7 +41,7 @@
 }
 
 impl Discovery {
-    /// Starts with a list, at two free ports.
+    /// Starts the agent with an endpoint list on two free ports.
     pub async fn start(
         seed: u64,
         hosts: Vec<Value>,
@@ -63,7 +63,7 @@
         Ok(discovery)
     }
 
-    /// Behaves otherwise for so long, and then answers again.
+    /// Changes the agent's behavior for `lasts`, then responds normally again, and records the outage.
     pub async fn fail_for(&self, behavior: DiscoveryBehavior, lasts: Duration) {
         let from = self.recorder.now();
         self.behavior.send_replace(behavior);
@@ -75,7 +75,8 @@
         records.discovery_outages.sort_by_key(|outage| outage.from);
     }
 
-    /// Puts an entry into the list, in place of that of the same name; returns the version that tells it.
+    /// Adds an endpoint to the list in place of the one with the same name, or removes that one if its health
+    /// is `DELETED`. Returns the new version of the list.
     pub fn publish(&self, host: Value) -> u64 {
         let mut version = 0;
         self.list.send_modify(|list| {
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Answers a call, and tells whether the connection goes on.
+    /// Responds to a request. Returns whether the connection stays open.
     async fn answer(&self, stream: &mut TcpStream, call: &str) -> io::Result<bool> {
         let path = call.split(' ').nth(1).unwrap_or_default();
         let figure = |name: &str| {
@@ -118,7 +119,7 @@
         let wait = Duration::from_millis(figure("wait_ms=").unwrap_or_default());
         if let Some(after) = after {
             let mut list = self.list.subscribe();
-            // If nothing changes in time, the answer says so.
+            // After the timeout the response reports that nothing has changed.
             let _ = timeout(wait, list.wait_for(|list| list.version > after)).await;
         }
         let behavior = *self.behavior.borrow();
@@ -158,7 +159,7 @@
         } else {
             json!({"seq": self.version, "whole": false, "hosts": []})
         };
-        // Some agents indent what they send.
+        // Some discovery agents indent their JSON, so every second version does.
         if self.version.is_multiple_of(2) { format!("{body:#}") } else { body.to_string() }
     }
 }
@@ -181,7 +182,7 @@
         tokio::select! {
             accepted = accepted => if let Ok((stream, _)) = accepted {
                 let discovery = discovery.clone();
-                // A proxy that goes is not discovery's concern.
+                // A disconnect by the proxy is not an error of the agent.
                 connections.spawn(async move { drop(discovery.serve(stream).await) });
             },
             changed = behavior.changed() => {
--- a/crates/scale-test/src/soak/record.rs
+++ b/crates/scale-test/src/soak/record.rs
@@ -1,4 +1,5 @@
-//! What was seen while a seed was played: requests, attempts, lists, processes. Times are since the start of the play.
+//! Records of a soak run: requests, attempts, endpoint lists, processes. Times are relative to the start of
+//! the run.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -6,251 +7,253 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Id of a request, as its `Req-Id` tells it.
+/// Id of a request, which its `Req-Id` header carries.
 pub type RequestId = u64;
 
-/// What a class allows when an attempt may have run.
+/// Whether a request may be repeated after an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Repeats are dropped by its key within a window.
+    /// Backends drop repeats by the idempotency key within a time window.
     Deduplicated,
-    /// It must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
-/// How a request ended for its client.
+/// The outcome of a request for its client.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub enum Outcome {
-    /// A whole answer came. One that was served carries the request's id in its body.
+    /// A complete response was received. The body of a status 200 response carries the request's id.
     Answered {
-        /// Its status.
+        /// The status code.
         status: u16,
-        /// Whether the body was that of this request.
+        /// Whether the body carries the id of this request.
         is_own_body: bool,
-        /// When its last byte came.
+        /// When the last byte was received.
         at: Duration,
     },
-    /// An answer began and ended short, so that the client can tell.
+    /// The response was cut short, which the client can detect.
     BrokenAnswer {
-        /// When it ended.
+        /// When the connection ended.
         at: Duration,
     },
-    /// The connection ended before a byte of an answer.
+    /// The connection ended before the first byte of a response.
     Closed {
-        /// When.
+        /// When the connection ended.
         at: Duration,
     },
-    /// The client has left.
+    /// The client disconnected.
     Left {
         /// When it closed its connection.
         at: Duration,
     },
 }
 
-/// A request of a client.
+/// A request that a client began to send.
 #[derive(Debug, Clone, Serialize)]
 pub struct RequestRecord {
-    /// Name of its class.
+    /// The name of the request class.
     pub class: String,
-    /// What its class allows.
+    /// Whether the request may be repeated.
     pub idempotency: Idempotency,
-    /// How long its client waits, from its last byte.
+    /// Time for which the client waits, counted from the last byte of the request.
     pub deadline: Duration,
-    /// Whether it is the first on its connection.
+    /// Whether this is the first request on its connection.
     pub is_first_on_connection: bool,
-    /// The request whose answer was outstanding on its connection when it was sent.
+    /// The request whose response was outstanding on the connection when this one was sent.
     pub behind: Option<RequestId>,
-    /// When its last byte was written; none if that did not happen.
+    /// When the last byte was written; `None` if the request was not written completely.
     pub complete_at: Option<Duration>,
-    /// How it ended; none as long as it has not.
+    /// The outcome; `None` until there is one.
     pub outcome: Option<Outcome>,
 }
 
-/// What a backend did with an attempt.
+/// What an attempt has done at the backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum AttemptEffect {
-    /// It was declined unseen.
+    /// The backend declined the attempt without running the request.
     Declined,
-    /// It has run, or may have.
+    /// The request has run or may have run.
     MayHaveRun,
 }
 
-/// An attempt that a backend got completely.
+/// An attempt that a backend received completely.
 #[derive(Debug, Clone, Serialize)]
 pub struct AttemptRecord {
-    /// Its request.
+    /// The id of the request.
     pub request: RequestId,
     /// Name of the backend.
     pub backend: String,
-    /// When its first byte came.
+    /// When the first byte was received.
     pub first_byte_at: Duration,
-    /// When its last byte came.
+    /// When the last byte was received.
     pub complete_at: Duration,
-    /// The deadline that it told, if it told one.
+    /// The value of `Req-Deadline-Ms`, if the attempt carried that header.
     pub told_deadline: Option<Duration>,
-    /// What the backend did with it.
+    /// What the attempt has done at the backend.
     pub effect: AttemptEffect,
 }
 
-/// A client that is owed an error or a close, since it sends nothing proper.
+/// A client that sends an incomplete request, or none, so that the proxy owes it an error response or a
+/// close.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ImproperRecord {
-    /// When it connected.
+    /// When the client connected.
     pub connected_at: Duration,
-    /// When it got an error or a close.
+    /// When the client received an error response or a close.
     pub ended_at: Option<Duration>,
 }
 
-/// Since when a backend takes nothing new.
+/// Why a backend must not be sent new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum WithdrawalCause {
-    /// It drains by the endpoint list, or is gone.
+    /// The endpoint list marks the backend as draining, or no longer contains it.
     Listed,
-    /// The operators suspended it.
+    /// The backend was suspended through the admin API.
     Suspended,
 }
 
-/// A time in which a backend must get nothing new.
+/// A period in which a backend must not be sent new requests.
 #[derive(Debug, Clone, Serialize)]
 pub struct Withdrawal {
     /// Name of the backend.
     pub backend: String,
-    /// Why.
+    /// The cause.
     pub cause: WithdrawalCause,
-    /// When it began: discovery had it then, or the operators had their yes.
+    /// The start of the period: when discovery had the change, or when the admin API confirmed the
+    /// suspension.
     pub from: Duration,
-    /// The version of the list that tells it, if one does.
+    /// The version of the endpoint list that contains the change, if the cause is the list.
     pub version: Option<u64>,
-    /// When it takes requests again.
+    /// The end of the period, if the backend takes requests again.
     pub until: Option<Duration>,
 }
 
-/// A backend's process that is warming up.
+/// The start of a backend's process that has to warm up.
 #[derive(Debug, Clone, Serialize)]
 pub struct ColdStart {
     /// Name of the backend.
     pub backend: String,
-    /// When its process started.
+    /// When the process started.
     pub at: Duration,
-    /// What it serves when it is warm, in requests a second.
+    /// The rate that the backend serves when it is warm, in requests per second.
     pub warm_rate: f64,
 }
 
-/// A version of the endpoint list.
+/// A change of the endpoint list.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ListChange {
-    /// Its version.
+    /// The version of the list that contains the change.
     pub version: u64,
-    /// When discovery had it.
+    /// When discovery had the change.
     pub at: Duration,
 }
 
-/// A configuration was replaced, and its signal sent.
+/// A replaced configuration file and the SIGHUP after it.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ReloadRecord {
-    /// Place of the process.
+    /// Index of the process.
     pub process: usize,
     /// The version of the configuration.
     pub version: u64,
-    /// When the signal was sent.
+    /// When SIGHUP was sent.
     pub at: Duration,
 }
 
-/// An answer that discovery has written completely.
+/// A response that discovery has written completely.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct ListAnswer {
-    /// The version of its list.
+    /// The version of the endpoint list in the response.
     pub version: u64,
-    /// When.
+    /// When the last byte was written.
     pub at: Duration,
 }
 
-/// A time in which discovery did not answer as it should.
+/// A period in which discovery did not respond normally.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct DiscoveryOutage {
-    /// When it began.
+    /// The start of the period.
     pub from: Duration,
-    /// When discovery answered again.
+    /// When discovery responded normally again.
     pub until: Duration,
 }
 
-/// What is seen of a process at one look.
+/// A sample of the resource usage of all processes of the proxy.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct UsageSample {
-    /// When.
+    /// When the sample was taken.
     pub at: Duration,
-    /// Descriptors of all processes of the proxy.
+    /// Number of open file descriptors.
     pub descriptors: usize,
-    /// Their memory in bytes.
+    /// Resident memory in bytes.
     pub memory: u64,
 }
 
 /// A process of the proxy.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct ProcessRecord {
-    /// When it was started.
+    /// When the process was started.
     pub started_at: Duration,
-    /// When it was ready.
+    /// When the process became ready.
     pub ready_at: Option<Duration>,
-    /// When it was told to end first.
+    /// When the process was first sent SIGTERM.
     pub terminated_at: Option<Duration>,
-    /// When it had ended by itself.
+    /// When the process exited, by itself or by SIGKILL.
     pub ended_at: Option<Duration>,
-    /// Whether it had to be killed.
+    /// Whether the process had to be killed with SIGKILL.
     pub was_killed: bool,
-    /// Whether its exit status was a success.
+    /// Whether the exit status was a success.
     pub is_success: bool,
-    /// Its log with the times at which the lines came.
+    /// The log lines with the times at which they were read.
     pub log: Vec<(Duration, String)>,
 }
 
-/// A call of the admin API.
+/// A call to the admin API.
 #[derive(Debug, Clone, Serialize)]
 pub struct AdminCall {
-    /// Its path.
+    /// The path of the call.
     pub path: String,
-    /// When it was made.
+    /// When the call was made.
     pub at: Duration,
-    /// How long its answer took; none if there was none.
+    /// Time until the response; `None` if there was none.
     pub took: Option<Duration>,
 }
 
-/// All that was seen.
+/// Everything that is recorded during a run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Records {
-    /// Requests by their ids.
+    /// Requests by id.
     pub requests: BTreeMap<RequestId, RequestRecord>,
-    /// Attempts in the order in which they were complete.
+    /// Attempts in the order in which backends received their last bytes.
     pub attempts: Vec<AttemptRecord>,
-    /// Clients that sent nothing proper.
+    /// Clients that sent no complete request.
     pub improper: Vec<ImproperRecord>,
-    /// When backends must get nothing new.
+    /// Periods in which backends must not be sent new requests.
     pub withdrawals: Vec<Withdrawal>,
-    /// Backends that started.
+    /// Cold starts of backends.
     pub cold_starts: Vec<ColdStart>,
-    /// Versions of the endpoint list.
+    /// Changes of the endpoint list.
     pub list_changes: Vec<ListChange>,
-    /// What discovery answered, in order of time.
+    /// Responses of discovery, ordered by time.
     pub list_answers: Vec<ListAnswer>,
-    /// Configurations that were replaced.
+    /// Reloads of the configuration.
     pub reloads: Vec<ReloadRecord>,
-    /// When discovery did not answer as it should, in order of time.
+    /// Outages of discovery, ordered by time.
     pub discovery_outages: Vec<DiscoveryOutage>,
-    /// What the processes held.
+    /// Samples of the processes' resource usage.
     pub usage: Vec<UsageSample>,
-    /// The processes, in the order of their starts.
+    /// The processes, ordered by start.
     pub processes: Vec<ProcessRecord>,
-    /// Calls of the admin API.
+    /// Calls to the admin API.
     pub admin_calls: Vec<AdminCall>,
-    /// When a crowd of clients filled the proxy.
+    /// Start and end of the period in which a crowd used up the proxy's connections.
     pub crowd: Option<(Duration, Duration)>,
-    /// How late the test's own timers were at the most.
+    /// Largest delay of the test's own timers.
     pub own_lateness: Duration,
 }
 
-/// Records that many tasks write.
+/// Records of a run in progress, which many tasks write.
 #[derive(Clone)]
 pub struct Recorder {
     started_at: Instant,
@@ -258,24 +261,24 @@
 }
 
 impl Recorder {
-    /// Begins now.
+    /// Starts empty records; the run starts now.
     pub fn start() -> Self {
         Recorder { started_at: Instant::now(), records: Arc::default() }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// The instant at a time since the start.
+    /// Converts a time since the start of the run to an instant.
     pub fn instant(&self, at: Duration) -> Instant {
         self.started_at + at
     }
 
-    /// The records, to be changed.
+    /// Locks the records for reading and writing.
     pub fn records(&self) -> MutexGuard<'_, Records> {
-        // A task that panicked left whole records behind.
+        // A task that panicked can't have left a record half written, so a poisoned lock is used as it is.
         self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
