--- a/crates/scale-test/src/soak/rules.rs
+++ b/crates/scale-test/src/soak/rules.rs
@@ -1,4 +1,5 @@
-//! The rules that a play is checked by: those of the protocol and of the standing test, with their own slack.
+//! The rules against which a soak run is checked: those of the protocol and of the balancer's standing test,
+//! each with its own tolerance.
 
 use super::plan::SoakSettings;
 use super::record::*;
@@ -6,76 +7,77 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Every limit of the protocol is longer by this on sockets.
+/// Added to every limit of the protocol, because the run uses real sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// An answer counts so long after its time.
+/// Time by which a response may exceed its deadline.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client has left.
+/// Time after its client's disconnect at which an attempt may still begin.
 const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
-/// The deadline that a backend is told may be longer than what is left by this.
+/// Time by which the deadline sent to a backend may exceed the remaining time.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// A close that comes this long after a request's last byte did not cross it.
+/// A close of a kept connection later than this after a request's last byte did not race with that request.
 const CROSSING_LIMIT: Duration = Duration::from_millis(100);
-/// A client that sends nothing proper gets an error or a close within this.
+/// Time within which a client that sends no complete request gets an error response or a close.
 const IMPROPER_LIMIT: Duration = Duration::from_secs(3);
-/// A change of the list is in force so long after discovery had it and could be reached.
+/// Time within which a change of the endpoint list takes effect, once discovery has it and is reachable.
 const LIST_LIMIT: Duration = Duration::from_secs(6);
-/// What a new configuration brings counts as notified so long after its signal.
+/// Time within which a new configuration takes effect after SIGHUP.
 const CONFIGURATION_LIMIT: Duration = Duration::from_secs(4);
-/// A process is ready within this.
+/// Time within which a process becomes ready after its start.
 const READY_LIMIT: Duration = Duration::from_secs(10);
-/// The admin API answers within this.
+/// Time within which the admin API responds.
 const ADMIN_LIMIT: Duration = Duration::from_secs(1);
-/// Under so many requests a cold backend has the wider allowance for chance.
+/// Below this mean number of requests the limit for a cold backend has the wider allowance for random
+/// variation.
 const FEW_REQUESTS: f64 = 30.0;
-/// After SIGTERM new connections are still accepted for so long.
+/// Time after SIGTERM for which new connections are still accepted.
 const ACCEPTED_AFTER_TERM: Duration = Duration::from_millis(400);
 
-/// A rule.
+/// A rule that a run is checked against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
 pub enum Rule {
-    /// A request has one whole final answer in time.
+    /// A request gets one complete final answer in time.
     FinalAnswer,
-    /// A request that was read is answered.
+    /// A request that the proxy has read gets a response.
     ReadAndClosed,
-    /// An answer is the one of its request.
+    /// A response belongs to the request that it answers.
     OwnAnswer,
-    /// No attempt begins after its client has left.
+    /// No attempt begins after its client has disconnected.
     DepartedClient,
-    /// What must not run twice does not, and is not refused once it may have run.
+    /// A request that must not run twice does not, and is not rejected after an attempt that may have run.
     Duplicate,
-    /// The deadline told to a backend is what is left.
+    /// The deadline sent to a backend is the remaining time.
     ToldDeadline,
-    /// Nothing new goes to a backend that drains, is gone or suspended.
+    /// No new request is sent to a backend that drains, is suspended or was removed.
     Drain,
-    /// A backend that is warming up bears what it gets.
+    /// A backend that is warming up gets no more requests than the settings allow.
     SlowStart,
-    /// A change of the list is in force in time.
+    /// A change of the endpoint list takes effect in time.
     ListInForce,
-    /// A new configuration is in force in time.
+    /// A new configuration takes effect in time.
     ConfigurationInForce,
-    /// A client that sends nothing proper gets an error or a close.
+    /// A client that sends no complete request gets an error response or a close.
     ImproperClient,
-    /// A process is ready in time.
+    /// A process becomes ready in time.
     Ready,
-    /// A process ends by itself, and well.
+    /// A process exits only after SIGTERM, without SIGKILL, and successfully.
     Ends,
-    /// Descriptors and memory are within their limits.
+    /// Descriptors and memory stay within their limits.
     Limits,
-    /// The admin API answers in time.
+    /// The admin API responds in time.
     Admin,
-    /// The log has no line that on-call staff do not know.
+    /// The log has only lines that operators know.
     Log,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct Violation {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// By which request, if by one.
+    /// The request that broke the rule, if it was a single one.
     pub request: Option<RequestId>,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
@@ -89,7 +91,7 @@
     }
 }
 
-/// Checks a play by all rules.
+/// Checks the records of a run against all rules.
 pub fn check(records: &Records, settings: &SoakSettings) -> Vec<Violation> {
     let checker = Checker::new(records, settings);
     let mut violations = Vec::new();
@@ -137,7 +139,7 @@
     fn final_answer(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
         let complete_at = request.complete_at?;
         let own_latest = complete_at + request.deadline + ANSWER_SLACK + SOCKET_SLACK;
-        // Answers on a connection come in order.
+        // Responses on a connection are sent in the order of the requests.
         let in_turn = self.answered_at(request.behind).map(|at| at + SOCKET_SLACK);
         let latest = in_turn.unwrap_or_default().max(own_latest);
         match &request.outcome {
@@ -158,13 +160,14 @@
         }
     }
 
-    /// A connection may be closed between requests, and the request that crosses the close is sent once more. The first
-    /// request of a connection may be shut unread by a crowd, or where the listener ends.
+    /// Checks a request whose connection was closed without a response. A connection may be closed between
+    /// requests, and a client may send a request that raced with the close again. The connection of a first
+    /// request may be closed unread during a crowd or while the listener closes.
     fn closed_unanswered(&self, id: RequestId, request: &RequestRecord, at: Duration) -> Option<Violation> {
         if !self.attempts(id).is_empty() {
             return violation(Rule::ReadAndClosed, id, "attempted, then closed unanswered".to_string());
         }
-        // What is sent behind another request may never have been read.
+        // A request that was pipelined behind another one may not have been read.
         if request.behind.is_some() {
             return None;
         }
@@ -256,7 +259,7 @@
         })
     }
 
-    /// When discovery could be reached for long enough to tell of a change.
+    /// Returns the earliest time at which discovery was reachable for long enough to deliver a change.
     fn reachable_at(&self, changed_at: Duration) -> Duration {
         let mut reachable_at = changed_at;
         for outage in &self.records.discovery_outages {
@@ -267,9 +270,9 @@
         reachable_at
     }
 
-    /// When the proxy counts as notified of a change: once discovery has written it, and at the latest when its term is
-    /// over. Where lists are pushed and discovery answers, that is at once; a watch that an outage has broken may take
-    /// as long as a poll.
+    /// Returns when the proxy counts as notified of a change: as soon as discovery has written it, and at the
+    /// latest `LIST_LIMIT` after discovery is reachable. If the list is watched and discovery responds, the
+    /// latest time is that of the change; a watch that an outage has broken may take as long as a poll.
     fn notified_at(&self, changed_at: Duration, version: Option<u64>) -> Duration {
         let is_near =
             |outage: &DiscoveryOutage| outage.from <= changed_at && changed_at <= outage.until + LIST_LIMIT;
@@ -282,7 +285,8 @@
         self.written_at(version).map_or(latest, |written_at| written_at.min(latest))
     }
 
-    /// When discovery had written a version to the only process; not known while there are several.
+    /// Returns when discovery had written a version to the only process, or `None` while there are several
+    /// processes, because the records do not show which of them got it.
     fn written_at(&self, version: Option<u64>) -> Option<Duration> {
         let version = version?;
         let answer = self.records.list_answers.iter().find(|answer| answer.version >= version)?;
@@ -312,7 +316,8 @@
         violation(Rule::Drain, attempt.request, detail)
     }
 
-    /// What a cold backend gets in any span of the settings' length stays under what the settings allow it then.
+    /// Checks that the number of requests that a cold backend gets in any window of `overload_span` stays
+    /// within what the settings allow at that time.
     fn slow_start(&self, start: &ColdStart) -> Option<Violation> {
         let end = start.at + self.settings.warm_up;
         let notified_at = self.notified_at(start.at, None);
@@ -349,7 +354,8 @@
         if mean < FEW_REQUESTS { mean + 3.0 * mean.sqrt() + 3.0 } else { mean + 2.0 * mean.sqrt() + 2.0 }
     }
 
-    /// A process holds a change, or a later one, in time, if it lives for so long.
+    /// Checks that each change of the endpoint list, or a later one, takes effect in time in each process
+    /// that runs for that long.
     fn list_in_force(&self) -> Option<Violation> {
         for process in &self.records.processes {
             for change in &self.records.list_changes {
@@ -374,7 +380,8 @@
         None
     }
 
-    /// A process has a new configuration in force, or a later one, in time, if it lives for so long.
+    /// Checks that a new configuration, or a later one, takes effect in time in a process that runs for that
+    /// long.
     fn configuration_in_force(&self, reload: &ReloadRecord) -> Option<Violation> {
         let process = self.records.processes.get(reload.process)?;
         let latest = reload.at + CONFIGURATION_LIMIT + SOCKET_SLACK;
@@ -402,14 +409,14 @@
     }
 }
 
-/// The version that a line of the log says is in force, if it says one.
+/// Returns the version of the endpoint list that a log line reports to be in force, if it reports one.
 fn list_version(line: &str) -> Option<u64> {
     let (_, rest) = line.split_once("endpoint list ")?;
     let (version, _) = rest.split_once(" in force")?;
     version.parse().ok()
 }
 
-/// The version of the configuration that a line of the log says was put in force, if it says one.
+/// Returns the version of the configuration that a log line reports to be applied, if it reports one.
 fn configuration_version(line: &str) -> Option<u64> {
     let (_, rest) = line.split_once("configuration applied, version ")?;
     let (version, _) = rest.split_once(',')?;
@@ -455,7 +462,7 @@
     Some(Violation { rule: Rule::Admin, request: None, detail })
 }
 
-/// Parts of the log lines that on-call staff know.
+/// Parts of the log lines that operators know.
 const KNOWN_LINES: [&str; 30] = [
     "admin API at ",
     "listening on ",
--- a/crates/scale-test/tests/soak.rs
+++ b/crates/scale-test/tests/soak.rs
@@ -1,9 +1,10 @@
-//! A short soak of the real program: fixed seeds, which are to hold each time. The long run is started by hand.
+//! A short soak of the real proxy program with fixed seeds, which must pass on every run. Long soaks
+//! are started by hand.
 
 use foldhitch_scale_test::soak;
 use std::path::{Path, PathBuf};
 
-/// The real program as the release build leaves it.
+/// Returns the path of the proxy program of the release build.
 fn program() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../target/release/foldhitch-proxy")
 }
@@ -11,25 +12,26 @@
 async fn holds(seed: u64) {
     let program = program();
     assert!(program.is_file(), "{}: build the release program first", program.display());
-    let report = soak::run(seed, &program).await.expect("it can be played");
+    let report = soak::run(seed, &program).await.expect("the soak runs");
     println!("{report}");
-    assert!(report.served > 0, "seed {seed} serves");
+    assert!(report.served > 0, "seed {seed}: no request was served");
     assert!(report.broken.is_empty(), "seed {seed}: {report}");
 }
 
-/// Reloads in a row, a drain by the operators, SIGHUP right before SIGTERM, and SIGTERM twice.
+/// The seed contains a series of reloads, a drain through the admin API, SIGHUP right before SIGTERM, and a
+/// second SIGTERM.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_with_signals_in_series_holds() {
     holds(12).await;
 }
 
-/// A crowd that stays during the stop, and discovery that fails.
+/// The seed contains a crowd that stays during the stop, and outages of discovery.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_with_a_crowd_holds() {
     holds(106).await;
 }
 
-/// Backends that hang, decline and answer without an end, with reloads in a row.
+/// The seed contains backends that hang, decline and send endless responses, and a series of reloads.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_with_faults_of_backends_holds() {
     holds(101).await;
--- a/crates/scale-test/tests/soak_rules.rs
+++ b/crates/scale-test/tests/soak_rules.rs
@@ -1,4 +1,4 @@
-//! Each rule of the soak over records in which it is just kept, and in which it is broken.
+//! Each rule of the soak is checked against records that just keep it and against records that break it.
 
 use foldhitch_scale_test::soak::plan::{SoakPlan, SoakSettings};
 use foldhitch_scale_test::soak::record::*;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 const ID: RequestId = 7;
-/// The request of these tests is complete at this time.
+/// Time at which the request of these tests was sent completely.
 const SENT_AT: Duration = ms(1000);
 const DEADLINE: Duration = ms(1000);
 
@@ -68,7 +68,7 @@
     Records { processes: vec![process], ..Records::default() }
 }
 
-/// The rules that are broken by records.
+/// Returns the rules that `records` breaks.
 fn broken(records: &Records) -> Vec<Rule> {
     let mut rules: Vec<Rule> =
         check(records, &settings()).into_iter().map(|violation| violation.rule).collect();
@@ -110,9 +110,13 @@
     assert_bites(Rule::ReadAndClosed, &crossing, &closed(false, ms(101), Vec::new()));
     assert_eq!(broken(&closed(true, ms(1), Vec::new())), [Rule::ReadAndClosed], "a new connection");
     let attempts = vec![attempt(SENT_AT, AttemptEffect::Declined)];
-    assert_eq!(broken(&closed(false, ms(1), attempts)), [Rule::ReadAndClosed], "it was attempted");
+    assert_eq!(
+        broken(&closed(false, ms(1), attempts)),
+        [Rule::ReadAndClosed],
+        "a backend received an attempt"
+    );
     let in_crowd = Records { crowd: Some((ms(0), ms(5000))), ..closed(true, ms(1), Vec::new()) };
-    assert_eq!(broken(&in_crowd), [], "a crowd may shut it out unread");
+    assert_eq!(broken(&in_crowd), [], "during a crowd a new connection may be closed unread");
 }
 
 #[test]
@@ -189,13 +193,13 @@
         let records = withdrawn(WithdrawalCause::Listed, after);
         Records { discovery_outages: vec![outage], ..records }
     };
-    // 1 s to its end, 6 s, and the drain deadline.
+    // The remaining 1 s of the outage, 6 s for the list, the drain deadline of 0.5 s, and 50 ms for sockets.
     assert_bites(Rule::Drain, &listed(ms(7550)), &listed(ms(7551)));
     let written = |after| {
         let answer = ListAnswer { version: 2, at: ms(2500) };
         Records { list_answers: vec![answer], ..listed(after) }
     };
-    // 1.5 s until discovery has written it, and the drain deadline.
+    // 1.5 s until discovery has written the list, the drain deadline of 0.5 s, and 50 ms for sockets.
     assert_bites(Rule::Drain, &written(ms(2050)), &written(ms(2051)));
 }
 
@@ -207,7 +211,8 @@
         let request = request(Idempotency::Idempotent, served(SENT_AT));
         Records { cold_starts: vec![start], ..with_request(request, attempts) }
     };
-    // A quarter of 32 a second, twice as much, in 1 s: 16, and 3 * 4 + 3.
+    // A cold capacity of a quarter of 32 requests per second, overloaded twofold for 1 s, gives a mean of 16;
+    // the allowance for random variation adds 3 * sqrt(16) + 3.
     assert_bites(Rule::SlowStart, &arrivals(31), &arrivals(32));
 }
 
