--- a/crates/scale-test/src/soak/mod.rs
+++ b/crates/scale-test/src/soak/mod.rs
@@ -5,10 +5,10 @@
 pub mod client;
 pub mod discovery;
 pub mod plan;
-pub mod play;
 pub mod process;
 pub mod record;
 pub mod rules;
+pub mod runner;
 
 use plan::SoakPlan;
 use record::{Outcome, Records, RequestId};
@@ -121,7 +121,7 @@
 /// Returns an error if the run can't be set up or carried out.
 pub async fn run(seed: u64, program: &Path) -> anyhow::Result<SeedReport> {
     let plan = SoakPlan::draw(seed);
-    let records = play::play(&plan, program).await?;
+    let records = runner::play(&plan, program).await?;
     Ok(SeedReport::new(&plan, &records))
 }
 
