--- a/crates/scale-test/src/soak/rules.rs
+++ b/crates/scale-test/src/soak/rules.rs
@@ -2,7 +2,10 @@
 //! each with its own tolerance.
 
 use super::plan::SoakSettings;
-use super::record::*;
+use super::record::{
+    AdminCall, AttemptEffect, AttemptRecord, ColdStart, DiscoveryOutage, Idempotency, ImproperRecord,
+    Outcome, ProcessRecord, Records, ReloadRecord, RequestId, RequestRecord, UsageSample, WithdrawalCause,
+};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
