--- a/crates/scale-test/src/soak/backend.rs
+++ b/crates/scale-test/src/soak/backend.rs
@@ -1,6 +1,6 @@
 //! Simulated backends that read and write HTTP directly on the socket, according to their current behavior.
 
-use super::plan::{BackendBehavior, SoakPlan, play_address};
+use super::plan::{BackendBehavior, SoakPlan, run_address};
 use super::record::{AttemptEffect, AttemptRecord, ColdStart, Recorder, RequestId};
 use std::io;
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
 use tokio::time::sleep;
 
 /// A slow backend multiplies its service time by this factor.
-const SLOWDOWN: u32 = 8;
+const SLOWDOWN_FACTOR: u32 = 8;
 /// Delay between a response and its stray copy.
-const STRAY_DELAY: Duration = Duration::from_millis(3);
+const STRAY_ANSWER_DELAY: Duration = Duration::from_millis(3);
 /// Interval between two bytes of a response that is not completed in time.
-const TRICKLE: Duration = Duration::from_millis(20);
+const ENDLESS_BYTE_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum size of a request head and body together.
 const MAX_REQUEST_BYTES: usize = 1 << 16;
 
@@ -49,7 +49,7 @@
 impl Backend {
     /// Starts a warm backend.
     pub async fn start(number: usize, plan: &SoakPlan, recorder: Recorder) -> io::Result<Arc<Self>> {
-        let listener = TcpListener::bind((play_address(plan.seed), 0)).await?;
+        let listener = TcpListener::bind((run_address(plan.seed), 0)).await?;
         let state =
             BackendState { behavior: BackendBehavior::Serve, started_at: None, process: JoinSet::new() };
         let backend = Arc::new(Backend {
@@ -63,12 +63,12 @@
             initial_capacity: plan.settings.initial_capacity,
             recorder,
         });
-        backend.run(listener);
+        backend.accept_connections(listener);
         Ok(backend)
     }
 
     /// Sets the behavior for the requests that follow.
-    pub fn behave(&self, behavior: BackendBehavior) {
+    pub fn set_behavior(&self, behavior: BackendBehavior) {
         self.with_state(|state| state.behavior = behavior);
     }
 
@@ -88,7 +88,7 @@
         });
         let warm_rate = self.concurrency as f64 / self.service_time.as_secs_f64();
         self.recorder.records().cold_starts.push(ColdStart { backend: self.name.clone(), at, warm_rate });
-        self.run(listener);
+        self.accept_connections(listener);
         Ok(())
     }
 
@@ -96,7 +96,7 @@
         change(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn run(self: &Arc<Self>, listener: TcpListener) {
+    fn accept_connections(self: &Arc<Self>, listener: TcpListener) {
         let backend = self.clone();
         let accept = async move {
             let mut connections = JoinSet::new();
@@ -121,8 +121,8 @@
                 BackendBehavior::Decline => AttemptEffect::Declined,
                 _ => AttemptEffect::MayHaveRun,
             };
-            self.record(&request, effect);
-            if !self.answer(&mut stream, &request, behavior).await? {
+            self.record_attempt(&request, effect);
+            if !self.respond(&mut stream, &request, behavior).await? {
                 return Ok(());
             }
         }
@@ -130,13 +130,13 @@
     }
 
     /// Sends the response. Returns whether the connection stays open.
-    async fn answer(
+    async fn respond(
         &self,
         stream: &mut TcpStream,
         request: &ReceivedRequest,
         behavior: BackendBehavior,
     ) -> io::Result<bool> {
-        let served = response("200 OK", "", &request.body());
+        let response = response_text("200 OK", "", &request.body());
         match behavior {
             BackendBehavior::Hang => {
                 // Waits until the proxy closes the connection.
@@ -145,7 +145,7 @@
             }
             BackendBehavior::Reset => return Ok(false),
             BackendBehavior::HalfAnswer => {
-                stream.write_all(&served.as_bytes()[..served.len() / 2]).await?;
+                stream.write_all(&response.as_bytes()[..response.len() / 2]).await?;
                 return Ok(false);
             }
             BackendBehavior::Endless => {
@@ -154,15 +154,15 @@
                 stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n").await?;
                 loop {
                     stream.write_all(b"x").await?;
-                    sleep(TRICKLE).await;
+                    sleep(ENDLESS_BYTE_INTERVAL).await;
                 }
             }
             BackendBehavior::Fail => {
-                stream.write_all(response("500 Internal Server Error", "", "").as_bytes()).await?;
+                stream.write_all(response_text("500 Internal Server Error", "", "").as_bytes()).await?;
                 return Ok(true);
             }
             BackendBehavior::Decline => {
-                let declined = response("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
+                let declined = response_text("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
                 stream.write_all(declined.as_bytes()).await?;
                 return Ok(true);
             }
@@ -171,21 +171,21 @@
             | BackendBehavior::TooMuch
             | BackendBehavior::StrayAnswer => {}
         }
-        self.work(behavior).await;
-        stream.write_all(served.as_bytes()).await?;
+        self.process_request(behavior).await;
+        stream.write_all(response.as_bytes()).await?;
         if behavior == BackendBehavior::TooMuch {
             stream.write_all(b"and more than belongs to it").await?;
         }
         if behavior == BackendBehavior::StrayAnswer {
-            sleep(STRAY_DELAY).await;
-            stream.write_all(served.as_bytes()).await?;
+            sleep(STRAY_ANSWER_DELAY).await;
+            stream.write_all(response.as_bytes()).await?;
         }
         Ok(true)
     }
 
-    async fn work(&self, behavior: BackendBehavior) {
+    async fn process_request(&self, behavior: BackendBehavior) {
         let Ok(_core) = self.cores.acquire().await else { return };
-        let slowdown = if behavior == BackendBehavior::Slow { SLOWDOWN } else { 1 };
+        let slowdown = if behavior == BackendBehavior::Slow { SLOWDOWN_FACTOR } else { 1 };
         let capacity = self.capacity_fraction();
         sleep((self.service_time * slowdown).div_f64(capacity)).await;
     }
@@ -198,13 +198,13 @@
         self.initial_capacity + (1.0 - self.initial_capacity) * progress
     }
 
-    fn record(&self, request: &ReceivedRequest, effect: AttemptEffect) {
+    fn record_attempt(&self, request: &ReceivedRequest, effect: AttemptEffect) {
         let attempt = AttemptRecord {
             request: request.id,
             backend: self.name.clone(),
             first_byte_at: request.first_byte_at,
             complete_at: self.recorder.now(),
-            told_deadline: request.told_deadline,
+            sent_deadline: request.sent_deadline,
             effect,
         };
         self.recorder.records().attempts.push(attempt);
@@ -230,7 +230,7 @@
 /// A request that was received completely.
 struct ReceivedRequest {
     id: RequestId,
-    told_deadline: Option<Duration>,
+    sent_deadline: Option<Duration>,
     first_byte_at: Duration,
 }
 
@@ -249,7 +249,7 @@
         let deadline = header("req-deadline-ms").and_then(|text| text.parse().ok());
         Some(ReceivedRequest {
             id: header("req-id").and_then(|id| RequestId::from_str_radix(id, 16).ok()).unwrap_or_default(),
-            told_deadline: deadline.map(Duration::from_millis),
+            sent_deadline: deadline.map(Duration::from_millis),
             first_byte_at,
         })
     }
@@ -260,7 +260,7 @@
     }
 }
 
-fn response(status: &str, headers: &str, body: &str) -> String {
+fn response_text(status: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
 }
--- a/crates/scale-test/src/soak/client.rs
+++ b/crates/scale-test/src/soak/client.rs
@@ -17,19 +17,19 @@
 use tokio::time::{sleep, timeout};
 
 /// A client stops waiting for a response this long after the deadline.
-const PATIENCE: Duration = Duration::from_millis(1500);
+const RESPONSE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1500);
 /// A client that sent an incomplete request waits this long for an error response or a close.
-const IMPROPER_PATIENCE: Duration = Duration::from_secs(5);
+const INCOMPLETE_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause after a failed connect.
-const REFUSED_PAUSE: Duration = Duration::from_millis(20);
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 /// Pause between the requests of a busy crowd client.
-const BUSY_PAUSE: Duration = Duration::from_millis(2);
+const BUSY_CROWD_PAUSE: Duration = Duration::from_millis(2);
 /// Maximum size of a response.
-const MAX_ANSWER_BYTES: usize = 1 << 20;
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 /// First request id of a crowd; regular clients use the ids below it.
-const CROWD_FIRST_ID: RequestId = 1 << 32;
+const FIRST_CROWD_REQUEST_ID: RequestId = 1 << 32;
 /// Number of pieces in which a slow client writes its request.
-const SLOW_PIECES: usize = 4;
+const SLOW_WRITE_PIECES: usize = 4;
 
 /// The state that all clients share.
 pub struct Clients {
@@ -63,27 +63,27 @@
 
 /// What a client does with its next request.
 #[derive(Clone, Copy)]
-enum Conduct {
+enum ClientBehavior {
     Wait,
-    Leave,
+    Disconnect,
     WriteSlowly,
-    Stop,
+    Stall,
     Pipeline,
 }
 
 /// A complete response.
-struct Answer {
+struct Response {
     status: u16,
     body: Vec<u8>,
-    closes: bool,
+    closes_connection: bool,
 }
 
 /// The reason why no complete response was received.
-enum AnswerError {
+enum ResponseError {
     /// The connection ended before the first byte.
     Closed,
     /// The connection ended in the middle of the response.
-    Broken,
+    Truncated,
     /// The response was not complete in time.
     TimedOut,
 }
@@ -109,13 +109,13 @@
     pub async fn run(self: Arc<Self>, mut random: StdRng) {
         let mut connection = None;
         while !self.is_over() {
-            let conduct = self.draw_conduct(&mut random);
-            let was_rejected = match conduct {
-                Conduct::Stop => {
-                    self.stop_in_the_middle().await;
+            let behavior = self.draw_behavior(&mut random);
+            let was_rejected = match behavior {
+                ClientBehavior::Stall => {
+                    self.send_partial_head().await;
                     false
                 }
-                _ => self.send_requests(&mut connection, conduct, &mut random).await,
+                _ => self.send_requests(&mut connection, behavior, &mut random).await,
             };
             if !(was_rejected && random.random_bool(self.plan.retrying)) {
                 sleep(random.random_range(Duration::ZERO..=self.plan.pause)).await;
@@ -123,19 +123,19 @@
         }
     }
 
-    fn draw_conduct(&self, random: &mut StdRng) -> Conduct {
+    fn draw_behavior(&self, random: &mut StdRng) -> ClientBehavior {
         let plan = &self.plan;
         let draw = random.random::<f64>();
         if draw < plan.leaving {
-            Conduct::Leave
+            ClientBehavior::Disconnect
         } else if draw < plan.leaving + plan.slow {
-            Conduct::WriteSlowly
+            ClientBehavior::WriteSlowly
         } else if draw < plan.leaving + plan.slow + plan.stopping {
-            Conduct::Stop
+            ClientBehavior::Stall
         } else if draw < plan.leaving + plan.slow + plan.stopping + plan.pipelining {
-            Conduct::Pipeline
+            ClientBehavior::Pipeline
         } else {
-            Conduct::Wait
+            ClientBehavior::Wait
         }
     }
 
@@ -144,11 +144,11 @@
     async fn send_requests(
         &self,
         kept: &mut Option<Connection>,
-        conduct: Conduct,
+        behavior: ClientBehavior,
         random: &mut StdRng,
     ) -> bool {
-        let Some(mut connection) = self.connection(kept).await else { return false };
-        let count = if matches!(conduct, Conduct::Pipeline) { 2 } else { 1 };
+        let Some(mut connection) = self.take_or_connect(kept).await else { return false };
+        let count = if matches!(behavior, ClientBehavior::Pipeline) { 2 } else { 1 };
         let requests: Vec<Request> = (0..count).map(|_| self.draw_request(random)).collect();
         let mut behind = None;
         for request in &requests {
@@ -158,8 +158,8 @@
         }
         connection.requests += count;
         let text: String = requests.iter().map(|request| request.text.as_str()).collect();
-        let written = match conduct {
-            Conduct::WriteSlowly => write_slowly(&mut connection.stream, &text, random).await,
+        let written = match behavior {
+            ClientBehavior::WriteSlowly => write_slowly(&mut connection.stream, &text, random).await,
             _ => connection.stream.write_all(text.as_bytes()).await,
         };
         if written.is_err() {
@@ -167,7 +167,7 @@
             return false;
         }
         self.record_complete(&requests);
-        if matches!(conduct, Conduct::Leave) {
+        if matches!(behavior, ClientBehavior::Disconnect) {
             sleep(random.random_range(Duration::ZERO..=requests[0].deadline / 2)).await;
             drop(connection);
             self.record_outcome(&requests[0], Outcome::Left { at: self.recorder.now() });
@@ -176,9 +176,9 @@
         let mut was_rejected = false;
         let mut waiting = requests.iter();
         while let Some(request) = waiting.next() {
-            let answer = self.await_answer(&mut connection, request).await;
-            was_rejected = answer.as_ref().is_some_and(|answer| matches!(answer.status, 429 | 503));
-            if answer.is_none_or(|answer| answer.closes) {
+            let response = self.receive_response(&mut connection, request).await;
+            was_rejected = response.as_ref().is_some_and(|response| matches!(response.status, 429 | 503));
+            if response.is_none_or(|response| response.closes_connection) {
                 // The requests behind it on the connection get no response.
                 let at = self.recorder.now();
                 waiting.for_each(|request| self.record_outcome(request, Outcome::Closed { at }));
@@ -190,7 +190,7 @@
     }
 
     /// Returns the kept connection or a new one, or `None` if the connect fails.
-    async fn connection(&self, kept: &mut Option<Connection>) -> Option<Connection> {
+    async fn take_or_connect(&self, kept: &mut Option<Connection>) -> Option<Connection> {
         if let Some(connection) = kept.take() {
             return Some(connection);
         }
@@ -201,33 +201,33 @@
                 Some(Connection { stream, unread: Vec::new(), requests: 0 })
             }
             Err(_) => {
-                sleep(REFUSED_PAUSE).await;
+                sleep(RECONNECT_DELAY).await;
                 None
             }
         }
     }
 
     /// Waits for the response to a request and records the outcome.
-    async fn await_answer(&self, connection: &mut Connection, request: &Request) -> Option<Answer> {
-        let patience = request.deadline + PATIENCE;
-        let answer = timeout(patience, read_answer(connection)).await;
+    async fn receive_response(&self, connection: &mut Connection, request: &Request) -> Option<Response> {
+        let response_timeout = request.deadline + RESPONSE_TIMEOUT_MARGIN;
+        let response = timeout(response_timeout, read_response(connection)).await;
         let at = self.recorder.now();
-        match answer.unwrap_or(Err(AnswerError::TimedOut)) {
-            Ok(answer) => {
-                let is_own_body = answer.body == format!("{:016x}", request.id).as_bytes();
-                let outcome = Outcome::Answered { status: answer.status, is_own_body, at };
+        match response.unwrap_or(Err(ResponseError::TimedOut)) {
+            Ok(response) => {
+                let is_own_body = response.body == format!("{:016x}", request.id).as_bytes();
+                let outcome = Outcome::Answered { status: response.status, is_own_body, at };
                 self.record_outcome(request, outcome);
-                Some(answer)
+                Some(response)
             }
-            Err(AnswerError::Closed) => {
+            Err(ResponseError::Closed) => {
                 self.record_outcome(request, Outcome::Closed { at });
                 None
             }
-            Err(AnswerError::Broken) => {
+            Err(ResponseError::Truncated) => {
                 self.record_outcome(request, Outcome::BrokenAnswer { at });
                 None
             }
-            Err(AnswerError::TimedOut) => None,
+            Err(ResponseError::TimedOut) => None,
         }
     }
 
@@ -270,24 +270,24 @@
     }
 
     /// Connects, sends an incomplete request head, and waits for an error response or a close.
-    async fn stop_in_the_middle(&self) {
-        self.send_improper("GET /look HTTP/1.1\r\nHost: o\r\nReq-Id: 1").await;
+    async fn send_partial_head(&self) {
+        self.send_incomplete_request("GET /look HTTP/1.1\r\nHost: o\r\nReq-Id: 1").await;
     }
 
     /// Connects, sends `text`, which is not a complete request, and waits for an error response or a close.
-    async fn send_improper(&self, text: &str) {
+    async fn send_incomplete_request(&self, text: &str) {
         let Ok(mut stream) = TcpStream::connect(self.address).await else {
-            return sleep(REFUSED_PAUSE).await;
+            return sleep(RECONNECT_DELAY).await;
         };
         let connected_at = self.recorder.now();
         let mut is_over = self.is_over.clone();
-        let ended = async {
+        let error_or_close = async {
             // A reset counts as a close, so errors are ignored.
             let _ = stream.write_all(text.as_bytes()).await;
             let _ = stream.read(&mut [0; 256]).await;
         };
         let ended_at = tokio::select! {
-            ended = timeout(IMPROPER_PATIENCE, ended) => ended.is_ok().then(|| self.recorder.now()),
+            ended = timeout(INCOMPLETE_REQUEST_TIMEOUT, error_or_close) => ended.is_ok().then(|| self.recorder.now()),
             // The run is over: the proxy's time for its error response or close is cut short.
             _ = async { is_over.wait_for(|is_over| *is_over).await.is_ok() } => return,
         };
@@ -295,9 +295,9 @@
     }
 
     /// Returns shared state with the same settings and recorder and another end.
-    pub fn with_end(&self, is_over: watch::Receiver<bool>) -> Arc<Self> {
+    pub fn for_crowd(&self, is_over: watch::Receiver<bool>) -> Arc<Self> {
         // A separate range of ids, above all ids of the regular clients.
-        let next_id = AtomicU64::new(CROWD_FIRST_ID);
+        let next_id = AtomicU64::new(FIRST_CROWD_REQUEST_ID);
         Arc::new(Clients {
             address: self.address,
             settings: self.settings.clone(),
@@ -309,15 +309,15 @@
     }
 
     /// Runs a client of a crowd, which reconnects as soon as its connection has ended.
-    pub async fn crowd(self: Arc<Self>, kind: CrowdKind, mut random: StdRng) {
+    pub async fn run_crowd_client(self: Arc<Self>, kind: CrowdKind, mut random: StdRng) {
         let mut connection = None;
         while !self.is_over() {
             match kind {
-                CrowdKind::Idle => self.send_improper("").await,
-                CrowdKind::HalfOpen => self.stop_in_the_middle().await,
+                CrowdKind::Idle => self.send_incomplete_request("").await,
+                CrowdKind::HalfOpen => self.send_partial_head().await,
                 CrowdKind::Busy => {
-                    self.send_requests(&mut connection, Conduct::Wait, &mut random).await;
-                    sleep(BUSY_PAUSE).await;
+                    self.send_requests(&mut connection, ClientBehavior::Wait, &mut random).await;
+                    sleep(BUSY_CROWD_PAUSE).await;
                 }
             }
         }
@@ -339,7 +339,7 @@
 }
 
 async fn write_slowly(stream: &mut TcpStream, text: &str, random: &mut StdRng) -> io::Result<()> {
-    let pieces = text.as_bytes().chunks(text.len().div_ceil(SLOW_PIECES));
+    let pieces = text.as_bytes().chunks(text.len().div_ceil(SLOW_WRITE_PIECES));
     for (index, piece) in pieces.enumerate() {
         if index > 0 {
             sleep(Duration::from_millis(random.random_range(5..60))).await;
@@ -350,21 +350,21 @@
 }
 
 /// Reads a response, whose body is delimited by `Content-Length`.
-async fn read_answer(connection: &mut Connection) -> Result<Answer, AnswerError> {
+async fn read_response(connection: &mut Connection) -> Result<Response, ResponseError> {
     loop {
-        if let Some(answer) = take_answer(&mut connection.unread) {
-            return Ok(answer);
+        if let Some(response) = take_response(&mut connection.unread) {
+            return Ok(response);
         }
         let before = connection.unread.len();
         let read = connection.stream.read_buf(&mut connection.unread).await;
-        let has_ended = read.map_or(true, |length| length == 0) || before > MAX_ANSWER_BYTES;
+        let has_ended = read.map_or(true, |length| length == 0) || before > MAX_RESPONSE_BYTES;
         if has_ended {
-            return Err(if before == 0 { AnswerError::Closed } else { AnswerError::Broken });
+            return Err(if before == 0 { ResponseError::Closed } else { ResponseError::Truncated });
         }
     }
 }
 
-fn take_answer(unread: &mut Vec<u8>) -> Option<Answer> {
+fn take_response(unread: &mut Vec<u8>) -> Option<Response> {
     let head_end = unread.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&unread[..head_end]).to_ascii_lowercase();
     let header = |wanted: &str| {
@@ -377,8 +377,8 @@
         return None;
     }
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
-    let closes = header("connection").is_some_and(|value| value.contains("close"));
+    let closes_connection = header("connection").is_some_and(|value| value.contains("close"));
     let body = unread[head_end..end].to_vec();
     unread.drain(..end);
-    Some(Answer { status, body, closes })
+    Some(Response { status, body, closes_connection })
 }
--- a/crates/scale-test/src/soak/discovery.rs
+++ b/crates/scale-test/src/soak/discovery.rs
@@ -1,7 +1,7 @@
 //! The simulated discovery agent: a versioned endpoint list and the scheduled faults.
 
-use super::plan::{DiscoveryBehavior, play_address};
-use super::record::{DiscoveryOutage, ListAnswer, ListChange, Recorder};
+use super::plan::{DiscoveryBehavior, run_address};
+use super::record::{DiscoveryOutage, ListChange, ListResponse, Recorder};
 use serde_json::{Value, json};
 use std::io;
 use std::net::SocketAddr;
@@ -14,13 +14,13 @@
 use tokio::time::{sleep, timeout};
 
 /// Delay of a response while discovery is slow.
-const SLOW_ANSWER: Duration = Duration::from_millis(900);
+const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(900);
 /// Pause between the two parts in which a response body is written.
-const PIECE_PAUSE: Duration = Duration::from_millis(5);
+const BODY_PART_PAUSE: Duration = Duration::from_millis(5);
 /// Version of the endpoint list at the start.
-const FIRST_VERSION: u64 = 1;
+const INITIAL_VERSION: u64 = 1;
 /// Maximum size of a request head.
-const MAX_CALL_BYTES: usize = 1 << 14;
+const MAX_REQUEST_HEAD_BYTES: usize = 1 << 14;
 
 /// A version of the endpoint list.
 #[derive(Clone)]
@@ -28,7 +28,7 @@
     version: u64,
     hosts: Vec<Value>,
     /// The endpoints of the first version, which an agent with an old list returns.
-    first_hosts: Vec<Value>,
+    initial_hosts: Vec<Value>,
 }
 
 /// The simulated discovery agent.
@@ -50,7 +50,7 @@
     ) -> io::Result<Arc<Self>> {
         let listeners = [listen(seed).await?, listen(seed).await?];
         let [first, second] = &listeners;
-        let list = EndpointList { version: FIRST_VERSION, first_hosts: hosts.clone(), hosts };
+        let list = EndpointList { version: INITIAL_VERSION, initial_hosts: hosts.clone(), hosts };
         let discovery = Arc::new(Discovery {
             addresses: [first.local_addr()?, second.local_addr()?],
             list: watch::Sender::new(list),
@@ -64,7 +64,7 @@
     }
 
     /// Changes the agent's behavior for `lasts`, then responds normally again, and records the outage.
-    pub async fn fail_for(&self, behavior: DiscoveryBehavior, lasts: Duration) {
+    pub async fn change_behavior_for(&self, behavior: DiscoveryBehavior, lasts: Duration) {
         let from = self.recorder.now();
         self.behavior.send_replace(behavior);
         sleep(lasts).await;
@@ -95,37 +95,37 @@
     async fn serve(&self, mut stream: TcpStream) -> io::Result<()> {
         stream.set_nodelay(true)?;
         loop {
-            let mut call = Vec::new();
-            while !call.ends_with(b"\r\n\r\n") {
-                if stream.read_buf(&mut call).await? == 0 || call.len() > MAX_CALL_BYTES {
+            let mut request = Vec::new();
+            while !request.ends_with(b"\r\n\r\n") {
+                if stream.read_buf(&mut request).await? == 0 || request.len() > MAX_REQUEST_HEAD_BYTES {
                     return Ok(());
                 }
             }
-            let text = String::from_utf8_lossy(&call).into_owned();
-            if !self.answer(&mut stream, &text).await? {
+            let text = String::from_utf8_lossy(&request).into_owned();
+            if !self.respond(&mut stream, &text).await? {
                 return Ok(());
             }
         }
     }
 
     /// Responds to a request. Returns whether the connection stays open.
-    async fn answer(&self, stream: &mut TcpStream, call: &str) -> io::Result<bool> {
-        let path = call.split(' ').nth(1).unwrap_or_default();
-        let figure = |name: &str| {
+    async fn respond(&self, stream: &mut TcpStream, request: &str) -> io::Result<bool> {
+        let path = request.split(' ').nth(1).unwrap_or_default();
+        let query_number = |name: &str| {
             let (_, query) = path.split_once('?')?;
             query.split('&').find_map(|pair| pair.strip_prefix(name)?.parse::<u64>().ok())
         };
-        let after = figure("after=");
-        let wait = Duration::from_millis(figure("wait_ms=").unwrap_or_default());
+        let after = query_number("after=");
+        let wait_time = Duration::from_millis(query_number("wait_ms=").unwrap_or_default());
         if let Some(after) = after {
             let mut list = self.list.subscribe();
             // After the timeout the response reports that nothing has changed.
-            let _ = timeout(wait, list.wait_for(|list| list.version > after)).await;
+            let _ = timeout(wait_time, list.wait_for(|list| list.version > after)).await;
         }
         let behavior = *self.behavior.borrow();
         match behavior {
             DiscoveryBehavior::Answer | DiscoveryBehavior::OldList => {}
-            DiscoveryBehavior::Slow => sleep(SLOW_ANSWER).await,
+            DiscoveryBehavior::Slow => sleep(SLOW_RESPONSE_DELAY).await,
             DiscoveryBehavior::Reset | DiscoveryBehavior::Refuse => return Ok(false),
             DiscoveryBehavior::Hang => {
                 stream.read_u8().await.ok();
@@ -135,26 +135,26 @@
         let is_old = behavior == DiscoveryBehavior::OldList;
         let (version, body) = {
             let list = self.list.borrow();
-            (if is_old { FIRST_VERSION } else { list.version }, list.body(after, is_old))
+            (if is_old { INITIAL_VERSION } else { list.version }, list.body(after, is_old))
         };
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all(head.as_bytes()).await?;
         let (first, rest) = body.split_at(body.len() / 2);
         stream.write_all(first.as_bytes()).await?;
-        sleep(PIECE_PAUSE).await;
+        sleep(BODY_PART_PAUSE).await;
         stream.write_all(rest.as_bytes()).await?;
         let at = self.recorder.now();
-        self.recorder.records().list_answers.push(ListAnswer { version, at });
+        self.recorder.records().list_responses.push(ListResponse { version, at });
         Ok(true)
     }
 }
 
 impl EndpointList {
     fn body(&self, after: Option<u64>, is_old: bool) -> String {
-        let is_changed = after.is_none_or(|after| self.version > after);
+        let has_changes = after.is_none_or(|after| self.version > after);
         let body = if is_old {
-            json!({"seq": FIRST_VERSION, "whole": true, "hosts": self.first_hosts})
-        } else if is_changed {
+            json!({"seq": INITIAL_VERSION, "whole": true, "hosts": self.initial_hosts})
+        } else if has_changes {
             json!({"seq": self.version, "whole": true, "hosts": self.hosts})
         } else {
             json!({"seq": self.version, "whole": false, "hosts": []})
@@ -165,7 +165,7 @@
 }
 
 async fn listen(seed: u64) -> io::Result<TcpListener> {
-    TcpListener::bind((play_address(seed), 0)).await
+    TcpListener::bind((run_address(seed), 0)).await
 }
 
 async fn accept(discovery: Arc<Discovery>, address: SocketAddr, listener: TcpListener) {
@@ -189,8 +189,8 @@
                 if changed.is_err() {
                     return;
                 }
-                let refuses = *behavior.borrow_and_update() == DiscoveryBehavior::Refuse;
-                if refuses {
+                let is_refusing = *behavior.borrow_and_update() == DiscoveryBehavior::Refuse;
+                if is_refusing {
                     listener = None;
                     connections.shutdown().await;
                 } else if listener.is_none() {
--- a/crates/scale-test/src/soak/mod.rs
+++ b/crates/scale-test/src/soak/mod.rs
@@ -20,11 +20,11 @@
 use std::time::Duration;
 
 /// If one of the test's own timers fires later than this, the machine was too busy for broken rules to count.
-const MAX_OWN_LATENESS: Duration = Duration::from_millis(150);
+const MAX_TIMER_LATENESS: Duration = Duration::from_millis(150);
 /// Maximum number of violations per rule that are printed with their timelines.
-const PRINTED_VIOLATIONS: usize = 2;
+const MAX_PRINTED_VIOLATIONS: usize = 2;
 /// Maximum number of log lines per process in a violation's timeline.
-const PRINTED_LOG_LINES: usize = 40;
+const MAX_PRINTED_LOG_LINES: usize = 40;
 
 /// The result of running one seed.
 #[derive(Debug, Serialize)]
@@ -59,11 +59,11 @@
         for violation in &violations {
             let count = broken.entry(violation.rule).or_insert(0);
             *count += 1;
-            if *count <= PRINTED_VIOLATIONS {
-                details.push(describe(violation, records));
+            if *count <= MAX_PRINTED_VIOLATIONS {
+                details.push(describe_violation(violation, records));
             }
         }
-        let with_status = |wanted: fn(u16) -> bool| {
+        let count_with_status = |wanted: fn(u16) -> bool| {
             let outcomes = records.requests.values().filter_map(|request| request.outcome.as_ref());
             outcomes
                 .filter(|outcome| matches!(outcome, Outcome::Answered { status, .. } if wanted(*status)))
@@ -72,13 +72,13 @@
         SeedReport {
             seed: plan.seed,
             requests: records.requests.values().filter(|request| request.complete_at.is_some()).count(),
-            served: with_status(|status| status == 200),
+            served: count_with_status(|status| status == 200),
             served_by_second: served_by_second(records),
-            rejected: with_status(|status| matches!(status, 429 | 503)),
+            rejected: count_with_status(|status| matches!(status, 429 | 503)),
             attempts: records.attempts.len(),
             own_lateness_ms: records.own_lateness.as_millis(),
             details,
-            is_void: !broken.is_empty() && records.own_lateness > MAX_OWN_LATENESS,
+            is_void: !broken.is_empty() && records.own_lateness > MAX_TIMER_LATENESS,
             broken,
         }
     }
@@ -121,12 +121,12 @@
 /// Returns an error if the run can't be set up or carried out.
 pub async fn run(seed: u64, program: &Path) -> anyhow::Result<SeedReport> {
     let plan = SoakPlan::draw(seed);
-    let records = runner::play(&plan, program).await?;
+    let records = runner::run_plan(&plan, program).await?;
     Ok(SeedReport::new(&plan, &records))
 }
 
 /// Formats a violation with the timeline of the run.
-fn describe(violation: &Violation, records: &Records) -> String {
+fn describe_violation(violation: &Violation, records: &Records) -> String {
     let mut text = format!("{violation}\n");
     for line in timeline(violation.request, records) {
         // Writing to a `String` can't fail.
@@ -140,21 +140,21 @@
     let id = request.map(|id| format!("{id:016x}"));
     for (number, process) in records.processes.iter().enumerate() {
         events.push((process.started_at, format!("process {number} started")));
-        let named = [
+        let milestones = [
             ("ready", process.ready_at),
             ("told to end", process.terminated_at),
             ("ended", process.ended_at),
         ];
-        for (what, at) in named {
-            events.extend(at.map(|at| (at, format!("process {number} {what}"))));
+        for (milestone, at) in milestones {
+            events.extend(at.map(|at| (at, format!("process {number} {milestone}"))));
         }
         let is_about = |line: &str| match &id {
             Some(id) if line.contains(id.as_str()) => true,
-            _ => !names_a_request(line),
+            _ => !begins_with_request_id(line),
         };
         let lines = process.log.iter().filter(|(_, line)| is_about(line));
         let lines = lines.map(|(at, line)| (*at, format!("log {number}: {line}")));
-        events.extend(lines.take(PRINTED_LOG_LINES));
+        events.extend(lines.take(MAX_PRINTED_LOG_LINES));
     }
     for withdrawal in &records.withdrawals {
         events.push((withdrawal.from, format!("{} {:?}", withdrawal.backend, withdrawal.cause)));
@@ -163,26 +163,26 @@
         events.push((outage.from, format!("discovery fails until {:?}", outage.until)));
     }
     if let Some(id) = request {
-        request_events(id, records, &mut events);
+        add_request_events(id, records, &mut events);
     }
     events.sort_by_key(|(at, _)| *at);
     events.into_iter().map(|(at, text)| format!("{:>9.4} s  {text}", at.as_secs_f64())).collect()
 }
 
 /// Returns whether a log line concerns a single request: the word after the program's name is a request id.
-fn names_a_request(line: &str) -> bool {
+fn begins_with_request_id(line: &str) -> bool {
     let word = line.split(' ').nth(1).unwrap_or_default();
     word.len() == 16 && RequestId::from_str_radix(word, 16).is_ok()
 }
 
-fn request_events(id: RequestId, records: &Records, events: &mut Vec<(Duration, String)>) {
+fn add_request_events(id: RequestId, records: &Records, events: &mut Vec<(Duration, String)>) {
     if let Some(request) = records.requests.get(&id) {
         let at = request.complete_at.unwrap_or_default();
         events.push((at, format!("client sent {request:?}")));
     }
     for attempt in records.attempts.iter().filter(|attempt| attempt.request == id) {
-        let told = attempt.told_deadline;
-        let text = format!("{} got it, {:?}, told {told:?}", attempt.backend, attempt.effect);
+        let deadline = attempt.sent_deadline;
+        let text = format!("{} got it, {:?}, told {deadline:?}", attempt.backend, attempt.effect);
         events.push((attempt.first_byte_at, text));
     }
 }
--- a/crates/scale-test/src/soak/plan.rs
+++ b/crates/scale-test/src/soak/plan.rs
@@ -12,12 +12,12 @@
 use std::time::Duration;
 
 /// Time between the start of the load and the earliest fault.
-const QUIET_START: Duration = Duration::from_millis(500);
+const FAULT_FREE_START: Duration = Duration::from_millis(500);
 /// Time between the start of the load and the stop of the proxy; all faults are scheduled before the stop.
-const TRAFFIC_TIME: Duration = Duration::from_millis(8000);
+const TRAFFIC_DURATION: Duration = Duration::from_millis(8000);
 /// SIGKILL follows SIGTERM after the longest deadline of a class, but at least after this time, plus
 /// `KILL_MARGIN`.
-const LEAST_LONGEST_DEADLINE: Duration = Duration::from_secs(3);
+const MIN_KILL_DELAY: Duration = Duration::from_secs(3);
 /// Added to the longest deadline before SIGKILL is sent.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
@@ -268,7 +268,7 @@
     pub torn_reload: Option<Duration>,
 }
 
-fn millis(random: &mut StdRng, from: u64, to: u64) -> Duration {
+fn draw_millis(random: &mut StdRng, from: u64, to: u64) -> Duration {
     Duration::from_millis(random.random_range(from..=to))
 }
 
@@ -278,17 +278,17 @@
             SoakClass {
                 name: "look",
                 idempotency: Idempotency::Idempotent,
-                deadline: millis(random, 300, 3000),
+                deadline: draw_millis(random, 300, 3000),
             },
             SoakClass {
                 name: "keep",
                 idempotency: Idempotency::Deduplicated,
-                deadline: millis(random, 300, 3000),
+                deadline: draw_millis(random, 300, 3000),
             },
             SoakClass {
                 name: "once",
                 idempotency: Idempotency::NonIdempotent,
-                deadline: millis(random, 300, 3000),
+                deadline: draw_millis(random, 300, 3000),
             },
         ];
         classes.shuffle(random);
@@ -300,19 +300,19 @@
             tenants: tenants[..random.random_range(1..=3)].to_vec(),
             zones: zones[..random.random_range(1..=3)].to_vec(),
             is_polled: random.random_bool(0.4),
-            poll_within: millis(random, 1000, 10_000),
-            drain_deadline: millis(random, 300, 2000),
-            warm_up: millis(random, 2000, 6000),
+            poll_within: draw_millis(random, 1000, 10_000),
+            drain_deadline: draw_millis(random, 300, 2000),
+            warm_up: draw_millis(random, 2000, 6000),
             initial_capacity: random.random_range(0.1..0.5),
             overload_multiple: random.random_range(2.0..4.0),
-            overload_span: millis(random, 1000, 3000),
-            deduplication_window: millis(random, 500, 5000),
+            overload_span: draw_millis(random, 1000, 3000),
+            deduplication_window: draw_millis(random, 500, 5000),
             max_attempts: random.random_range(2..=6),
             can_cancel: random.random_bool(0.7),
             can_hedge: random.random_bool(0.5),
             sends_retry_after: random.random_bool(0.5),
-            connection_idle: millis(random, 1000, 10_000),
-            connect_timeout: millis(random, 150, 1000),
+            connection_idle: draw_millis(random, 1000, 10_000),
+            connect_timeout: draw_millis(random, 150, 1000),
             max_descriptors: *[64, 96, 128, 256].choose(random).unwrap_or(&128),
             memory_bytes: random.random_range(48..=128) << 20,
         }
@@ -325,7 +325,7 @@
 
     /// Returns the time between SIGTERM and SIGKILL.
     pub fn kill_after(&self) -> Duration {
-        self.longest_deadline().max(LEAST_LONGEST_DEADLINE) + KILL_MARGIN
+        self.longest_deadline().max(MIN_KILL_DELAY) + KILL_MARGIN
     }
 
     /// Returns the settings in the format of the proxy's configuration file.
@@ -367,26 +367,26 @@
         let random = &mut random;
         let settings = SoakSettings::draw(random);
         let backends = random.random_range(4..=8);
-        let service_time = millis(random, 5, 40);
+        let service_time = draw_millis(random, 5, 40);
         let concurrency = random.random_range(2..=6);
         let clients = ClientPlan {
             clients: random.random_range(4..=12),
-            pause: millis(random, 20, 200),
+            pause: draw_millis(random, 20, 200),
             leaving: random.random_range(0.0..0.15),
             slow: random.random_range(0.0..0.1),
             stopping: random.random_range(0.0..0.03),
             pipelining: random.random_range(0.0..0.1),
             retrying: random.random_range(0.0..1.0),
         };
-        let stop_at = TRAFFIC_TIME;
+        let stop_at = TRAFFIC_DURATION;
         let crowd = draw_crowd(random, &settings, stop_at);
         let mut events: Vec<ScheduledEvent> =
             (0..random.random_range(6..=12)).map(|_| draw_event(random, backends, stop_at)).collect();
         events.extend(draw_signals(random, stop_at));
         events.sort_by_key(|scheduled| scheduled.at);
         let stop = StopPlan {
-            reload_before: random.random_bool(0.4).then(|| millis(random, 0, 20)),
-            terminate_again: random.random_bool(0.4).then(|| millis(random, 0, 300)),
+            reload_before: random.random_bool(0.4).then(|| draw_millis(random, 0, 20)),
+            terminate_again: random.random_bool(0.4).then(|| draw_millis(random, 0, 300)),
         };
         SoakPlan {
             seed,
@@ -407,7 +407,7 @@
 /// Draws from a separate random stream, so that the rest of a seed's plan does not depend on it.
 fn draw_torn_reload(seed: u64) -> Option<Duration> {
     let random = &mut StdRng::seed_from_u64(seed ^ TORN_RELOAD_STREAM);
-    random.random_bool(0.5).then(|| millis(random, 20, 1500))
+    random.random_bool(0.5).then(|| draw_millis(random, 20, 1500))
 }
 
 fn draw_crowd(random: &mut StdRng, settings: &SoakSettings, stop_at: Duration) -> Option<CrowdPlan> {
@@ -415,34 +415,39 @@
         return None;
     }
     let kind = *[CrowdKind::Idle, CrowdKind::HalfOpen, CrowdKind::Busy].choose(random)?;
-    let from = millis(random, 500, 5000);
+    let from = draw_millis(random, 500, 5000);
     // Half of the crowds stay until the end of the run, that is, through the stop of the proxy.
-    let until = if random.random_bool(0.5) { from + millis(random, 1000, 3000) } else { stop_at * 2 };
+    let until = if random.random_bool(0.5) { from + draw_millis(random, 1000, 3000) } else { stop_at * 2 };
     Some(CrowdPlan { kind, clients: settings.max_descriptors, from, until })
 }
 
 fn draw_event(random: &mut StdRng, backends: usize, stop_at: Duration) -> ScheduledEvent {
-    let at = random.random_range(QUIET_START..stop_at);
+    let at = random.random_range(FAULT_FREE_START..stop_at);
     let backend = random.random_range(0..backends);
     let event = match random.random_range(0..10) {
-        0..5 => {
-            SoakEvent::Backend { backend, behavior: draw_behavior(random), lasts: millis(random, 200, 3000) }
-        }
-        5 => SoakEvent::Drain { backend, gone_after: millis(random, 500, 4000) },
-        6 => SoakEvent::Crash { backend, back_after: millis(random, 100, 2000) },
-        7 => SoakEvent::Suspend { backend, resumed_after: millis(random, 50, 2000) },
-        _ => SoakEvent::Discovery { behavior: draw_discovery(random), lasts: millis(random, 300, 4000) },
+        0..5 => SoakEvent::Backend {
+            backend,
+            behavior: draw_backend_behavior(random),
+            lasts: draw_millis(random, 200, 3000),
+        },
+        5 => SoakEvent::Drain { backend, gone_after: draw_millis(random, 500, 4000) },
+        6 => SoakEvent::Crash { backend, back_after: draw_millis(random, 100, 2000) },
+        7 => SoakEvent::Suspend { backend, resumed_after: draw_millis(random, 50, 2000) },
+        _ => SoakEvent::Discovery {
+            behavior: draw_discovery_behavior(random),
+            lasts: draw_millis(random, 300, 4000),
+        },
     };
     ScheduledEvent { at, event }
 }
 
-fn draw_behavior(random: &mut StdRng) -> BackendBehavior {
+fn draw_backend_behavior(random: &mut StdRng) -> BackendBehavior {
     use BackendBehavior::{Decline, Endless, Fail, HalfAnswer, Hang, Reset, Slow, StrayAnswer, TooMuch};
     let behaviors = [Hang, Reset, HalfAnswer, TooMuch, Endless, StrayAnswer, Slow, Fail, Decline];
     *behaviors.choose(random).unwrap_or(&Hang)
 }
 
-fn draw_discovery(random: &mut StdRng) -> DiscoveryBehavior {
+fn draw_discovery_behavior(random: &mut StdRng) -> DiscoveryBehavior {
     use DiscoveryBehavior::{Hang, OldList, Refuse, Reset, Slow};
     *[Refuse, Hang, Slow, Reset, OldList].choose(random).unwrap_or(&Hang)
 }
@@ -452,19 +457,19 @@
     let mut events = Vec::new();
     let mut add = |random: &mut StdRng, event| {
         // An upgrade must be complete before the proxy is stopped.
-        let at = random.random_range(QUIET_START..stop_at / 2);
+        let at = random.random_range(FAULT_FREE_START..stop_at / 2);
         events.push(ScheduledEvent { at, event });
     };
     if random.random_bool(0.5) {
-        let event = SoakEvent::Reload { count: random.random_range(1..=4), gap: millis(random, 0, 100) };
+        let event = SoakEvent::Reload { count: random.random_range(1..=4), gap: draw_millis(random, 0, 100) };
         add(random, event);
     }
     if random.random_bool(0.4) {
-        let abandoned_after = random.random_bool(0.4).then(|| millis(random, 0, 300));
+        let abandoned_after = random.random_bool(0.4).then(|| draw_millis(random, 0, 300));
         add(random, SoakEvent::Upgrade { abandoned_after });
     }
     for _ in 0..random.random_range(0..=2) {
-        let active_after = millis(random, 0, 1500);
+        let active_after = draw_millis(random, 0, 1500);
         add(random, SoakEvent::DrainProxy { active_after });
     }
     events
@@ -472,7 +477,7 @@
 
 /// Returns the loopback address on which everything in a run listens. It depends on the process id and the
 /// seed, so that concurrent runs don't take each other's ports.
-pub fn play_address(seed: u64) -> Ipv4Addr {
+pub fn run_address(seed: u64) -> Ipv4Addr {
     let [process, ..] = std::process::id().to_le_bytes();
     let [.., high, low] = (seed % (1 << 16)).to_be_bytes();
     Ipv4Addr::new(127, process.max(1), high, low)
--- a/crates/scale-test/src/soak/process.rs
+++ b/crates/scale-test/src/soak/process.rs
@@ -1,6 +1,6 @@
 //! Processes of the real proxy program: their start, signals, log, admin API and resource usage.
 
-use super::plan::{SoakSettings, play_address};
+use super::plan::{SoakSettings, run_address};
 use super::record::{AdminCall, ProcessRecord, Recorder, ReloadRecord, UsageSample};
 use anyhow::{Context, anyhow};
 use rustix::process::{Pid, Signal, kill_process};
@@ -18,19 +18,19 @@
 use tokio::time::{sleep, timeout};
 
 /// Pause between two samples of the processes' resource usage.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const USAGE_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout of a call to the admin API.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause between two readiness checks of a process.
-const READY_INTERVAL: Duration = Duration::from_millis(10);
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The instance of the proxy, whose processes share an address, a folder and the settings.
+/// The instance of the proxy, whose processes share an address, a directory and the settings.
 pub struct ProxyInstance {
     /// The path of the proxy program.
     pub program: PathBuf,
     /// The address on which clients connect.
     pub address: SocketAddr,
-    folder: PathBuf,
+    directory: PathBuf,
     seed: u64,
     config_version: AtomicU64,
     settings: SoakSettings,
@@ -44,16 +44,16 @@
     pid: Pid,
     admin: SocketAddr,
     config_path: PathBuf,
-    has_ended: watch::Receiver<bool>,
+    has_exited: watch::Receiver<bool>,
     /// Requests a SIGKILL.
-    kill: Arc<tokio::sync::Notify>,
+    kill_request: Arc<tokio::sync::Notify>,
 }
 
 impl ProxyInstance {
     /// Creates an instance without processes on a free port.
     pub async fn new(
         program: &Path,
-        folder: &Path,
+        directory: &Path,
         seed: u64,
         settings: SoakSettings,
         discovery: [SocketAddr; 2],
@@ -63,7 +63,7 @@
         Ok(Arc::new(ProxyInstance {
             program: program.to_path_buf(),
             address,
-            folder: folder.to_path_buf(),
+            directory: directory.to_path_buf(),
             seed,
             config_version: AtomicU64::new(0),
             settings,
@@ -88,7 +88,7 @@
     pub async fn start(self: &Arc<Self>) -> anyhow::Result<ProxyProcess> {
         let admin = free_address(self.seed).await?;
         let number = self.recorder.records().processes.len();
-        let config_path = self.folder.join(format!("config-{number}.json"));
+        let config_path = self.directory.join(format!("config-{number}.json"));
         std::fs::write(&config_path, self.next_config(admin).to_string())?;
         let limit = self.settings.max_descriptors;
         let mut child = Command::new("/bin/sh")
@@ -100,7 +100,7 @@
             .env_remove("RELAY_MANAGEMENT")
             .env_remove("RELAY_DISCOVERY")
             .env("RELAY_CONFIG", &config_path)
-            .env("TMPDIR", &self.folder)
+            .env("TMPDIR", &self.directory)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
@@ -113,10 +113,10 @@
         let pid = Pid::from_raw(i32::try_from(id)?).ok_or_else(|| anyhow!("the process id is 0"))?;
         let log = child.stderr.take().ok_or_else(|| anyhow!("the process has no stderr pipe"))?;
         tokio::spawn(read_log(self.recorder.clone(), number, log));
-        let (ended, has_ended) = watch::channel(false);
-        let kill = Arc::new(tokio::sync::Notify::new());
-        tokio::spawn(follow_end(self.recorder.clone(), number, child, kill.clone(), ended));
-        Ok(ProxyProcess { number, pid, admin, config_path, has_ended, kill })
+        let (exit_sender, has_exited) = watch::channel(false);
+        let kill_request = Arc::new(tokio::sync::Notify::new());
+        tokio::spawn(record_exit(self.recorder.clone(), number, child, kill_request.clone(), exit_sender));
+        Ok(ProxyProcess { number, pid, admin, config_path, has_exited, kill_request })
     }
 
     /// Replaces the configuration file of a process and sends it SIGHUP.
@@ -149,7 +149,7 @@
     /// Calls the admin API of a process. Returns whether it answered with a 2xx status.
     pub async fn call_admin(&self, process: &ProxyProcess, method: &str, path: &str) -> bool {
         let at = self.recorder.now();
-        let status = timeout(ADMIN_TIMEOUT, admin_status(process.admin, method, path)).await;
+        let status = timeout(ADMIN_TIMEOUT, request_admin_status(process.admin, method, path)).await;
         let status = status.ok().and_then(Result::ok);
         let took = status.map(|_| self.recorder.now() - at);
         let call = AdminCall { path: path.to_string(), at, took };
@@ -162,13 +162,13 @@
     /// Waits until a process is ready or has exited.
     pub async fn wait_until_ready(&self, process: &ProxyProcess) {
         while process.is_running() {
-            let status = admin_status(process.admin, "GET", "/v1/readyz").await;
+            let status = request_admin_status(process.admin, "GET", "/v1/readyz").await;
             if status.is_ok_and(|status| status == 200) {
                 let ready_at = self.recorder.now();
                 self.recorder.records().processes[process.number].ready_at.get_or_insert(ready_at);
                 return;
             }
-            sleep(READY_INTERVAL).await;
+            sleep(READINESS_CHECK_INTERVAL).await;
         }
     }
 
@@ -180,32 +180,32 @@
     }
 
     /// Waits until a process has exited after SIGTERM, and kills it if it has not when SIGKILL is due.
-    pub async fn wait_for_end(&self, process: &mut ProxyProcess) {
+    pub async fn wait_for_exit(&self, process: &mut ProxyProcess) {
         let terminated_at = self.recorder.records().processes[process.number].terminated_at;
         let kill_at = terminated_at.unwrap_or_default() + self.settings.kill_after();
-        let left = kill_at.saturating_sub(self.recorder.now());
-        let ended = timeout(left, process.has_ended.wait_for(|has_ended| *has_ended)).await.is_ok();
-        if !ended {
+        let remaining = kill_at.saturating_sub(self.recorder.now());
+        let exited = timeout(remaining, process.has_exited.wait_for(|has_exited| *has_exited)).await.is_ok();
+        if !exited {
             self.recorder.records().processes[process.number].was_killed = true;
-            process.kill.notify_one();
+            process.kill_request.notify_one();
             // A process can't outlive SIGKILL, so the wait needs no timeout.
-            let _ = process.has_ended.wait_for(|has_ended| *has_ended).await;
+            let _ = process.has_exited.wait_for(|has_exited| *has_exited).await;
         }
     }
 
     /// Samples the descriptors and memory of all processes together until the task is aborted.
-    pub async fn watch_usage(self: Arc<Self>, pids: Arc<std::sync::Mutex<Vec<Pid>>>) {
+    pub async fn sample_usage(self: Arc<Self>, pids: Arc<std::sync::Mutex<Vec<Pid>>>) {
         loop {
             let at = self.recorder.now();
             let pids = pids.lock().map(|pids| pids.clone()).unwrap_or_default();
-            let usages: Vec<Usage> = pids.into_iter().filter_map(Usage::of).collect();
+            let usages: Vec<Usage> = pids.into_iter().filter_map(Usage::read).collect();
             let descriptors = usages.iter().map(|usage| usage.descriptors).sum();
             let memory = usages.iter().map(|usage| usage.memory).sum();
             self.recorder.records().usage.push(UsageSample { at, descriptors, memory });
-            sleep(LOOK_INTERVAL).await;
-            let late = self.recorder.now().saturating_sub(at + LOOK_INTERVAL);
+            sleep(USAGE_SAMPLE_INTERVAL).await;
+            let lateness = self.recorder.now().saturating_sub(at + USAGE_SAMPLE_INTERVAL);
             let mut records = self.recorder.records();
-            records.own_lateness = records.own_lateness.max(late);
+            records.own_lateness = records.own_lateness.max(lateness);
         }
     }
 }
@@ -218,7 +218,7 @@
 
     /// Returns whether the process has not exited.
     pub fn is_running(&self) -> bool {
-        !*self.has_ended.borrow()
+        !*self.has_exited.borrow()
     }
 
     fn signal(&self, signal: Signal) {
@@ -238,7 +238,7 @@
 impl Usage {
     /// Reads the usage of a process. Returns `None` if the process has exited. Before the shell that starts
     /// the program has replaced itself by it, the values are the shell's.
-    fn of(pid: Pid) -> Option<Self> {
+    fn read(pid: Pid) -> Option<Self> {
         let process = procfs::process::Process::new(pid.as_raw_nonzero().get()).ok()?;
         let descriptors = process.fd_count().ok()?;
         let memory = process.stat().ok()?.rss * procfs::page_size();
@@ -247,7 +247,7 @@
 }
 
 async fn free_address(seed: u64) -> anyhow::Result<SocketAddr> {
-    Ok(TcpListener::bind((play_address(seed), 0)).await?.local_addr()?)
+    Ok(TcpListener::bind((run_address(seed), 0)).await?.local_addr()?)
 }
 
 async fn read_log(recorder: Recorder, number: usize, log: ChildStderr) {
@@ -258,16 +258,16 @@
     }
 }
 
-async fn follow_end(
+async fn record_exit(
     recorder: Recorder,
     number: usize,
     mut child: Child,
-    kill: Arc<tokio::sync::Notify>,
-    ended: watch::Sender<bool>,
+    kill_request: Arc<tokio::sync::Notify>,
+    exit_sender: watch::Sender<bool>,
 ) {
     let status = tokio::select! {
         status = child.wait() => status,
-        () = kill.notified() => {
+        () = kill_request.notified() => {
             // The kill fails only if the process has exited.
             let _ = child.start_kill();
             child.wait().await
@@ -280,16 +280,16 @@
         process.ended_at = Some(at);
         process.is_success = status.is_ok_and(|status| status.success());
     }
-    ended.send_replace(true);
+    exit_sender.send_replace(true);
 }
 
-async fn admin_status(address: SocketAddr, method: &str, path: &str) -> anyhow::Result<u16> {
+async fn request_admin_status(address: SocketAddr, method: &str, path: &str) -> anyhow::Result<u16> {
     let mut stream = TcpStream::connect(address).await?;
     let call =
         format!("{method} {path} HTTP/1.1\r\nHost: admin\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     stream.write_all(call.as_bytes()).await?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await?;
-    let text = String::from_utf8_lossy(&answer);
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).await?;
+    let text = String::from_utf8_lossy(&response);
     Ok(text.split(' ').nth(1).ok_or_else(|| anyhow!("the admin API's response has no status"))?.parse()?)
 }
--- a/crates/scale-test/src/soak/record.rs
+++ b/crates/scale-test/src/soak/record.rs
@@ -90,7 +90,8 @@
     /// When the last byte was received.
     pub complete_at: Duration,
     /// The value of `Req-Deadline-Ms`, if the attempt carried that header.
-    pub told_deadline: Option<Duration>,
+    #[serde(rename = "told_deadline")]
+    pub sent_deadline: Option<Duration>,
     /// What the attempt has done at the backend.
     pub effect: AttemptEffect,
 }
@@ -163,7 +164,7 @@
 
 /// A response that discovery has written completely.
 #[derive(Debug, Clone, Copy, Serialize)]
-pub struct ListAnswer {
+pub struct ListResponse {
     /// The version of the endpoint list in the response.
     pub version: u64,
     /// When the last byte was written.
@@ -236,7 +237,8 @@
     /// Changes of the endpoint list.
     pub list_changes: Vec<ListChange>,
     /// Responses of discovery, ordered by time.
-    pub list_answers: Vec<ListAnswer>,
+    #[serde(rename = "list_answers")]
+    pub list_responses: Vec<ListResponse>,
     /// Reloads of the configuration.
     pub reloads: Vec<ReloadRecord>,
     /// Outages of discovery, ordered by time.
--- a/crates/scale-test/src/soak/rules.rs
+++ b/crates/scale-test/src/soak/rules.rs
@@ -11,15 +11,15 @@
 use std::time::Duration;
 
 /// Added to every limit of the protocol, because the run uses real sockets.
-const SOCKET_SLACK: Duration = Duration::from_millis(50);
+const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
 /// Time by which a response may exceed its deadline.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
+const RESPONSE_TOLERANCE: Duration = Duration::from_millis(500);
 /// Time after its client's disconnect at which an attempt may still begin.
-const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
+const DISCONNECT_TOLERANCE: Duration = Duration::from_millis(100);
 /// Time by which the deadline sent to a backend may exceed the remaining time.
-const DEADLINE_SLACK: Duration = Duration::from_millis(150);
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
 /// A close of a kept connection later than this after a request's last byte did not race with that request.
-const CROSSING_LIMIT: Duration = Duration::from_millis(100);
+const CLOSE_RACE_LIMIT: Duration = Duration::from_millis(100);
 /// Time within which a client that sends no complete request gets an error response or a close.
 const IMPROPER_LIMIT: Duration = Duration::from_secs(3);
 /// Time within which a change of the endpoint list takes effect, once discovery has it and is reachable.
@@ -32,9 +32,9 @@
 const ADMIN_LIMIT: Duration = Duration::from_secs(1);
 /// Below this mean number of requests the limit for a cold backend has the wider allowance for random
 /// variation.
-const FEW_REQUESTS: f64 = 30.0;
+const WIDE_ALLOWANCE_BELOW_REQUESTS: f64 = 30.0;
 /// Time after SIGTERM for which new connections are still accepted.
-const ACCEPTED_AFTER_TERM: Duration = Duration::from_millis(400);
+const ACCEPT_TIME_AFTER_SIGTERM: Duration = Duration::from_millis(400);
 
 /// A rule that a run is checked against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize)]
@@ -99,24 +99,24 @@
     let checker = Checker::new(records, settings);
     let mut violations = Vec::new();
     for (&id, request) in &records.requests {
-        violations.extend(checker.final_answer(id, request));
-        violations.extend(checker.own_answer(id, request));
-        violations.extend(checker.departed_client(id, request));
-        violations.extend(checker.duplicate(id, request));
-        violations.extend(checker.told_deadline(id, request));
+        violations.extend(checker.check_final_answer(id, request));
+        violations.extend(checker.check_own_answer(id, request));
+        violations.extend(checker.check_departed_client(id, request));
+        violations.extend(checker.check_duplicate(id, request));
+        violations.extend(checker.check_told_deadline(id, request));
     }
-    violations.extend(records.attempts.iter().filter_map(|attempt| checker.drain(attempt)));
-    violations.extend(records.cold_starts.iter().filter_map(|start| checker.slow_start(start)));
-    violations.extend(checker.list_in_force());
-    violations.extend(records.reloads.iter().find_map(|reload| checker.configuration_in_force(reload)));
-    violations.extend(records.improper.iter().filter_map(improper_client));
-    violations.extend(records.processes.iter().flat_map(process));
-    violations.extend(records.usage.iter().find_map(|sample| checker.limits(sample)));
-    violations.extend(records.admin_calls.iter().filter_map(admin));
+    violations.extend(records.attempts.iter().filter_map(|attempt| checker.check_drain(attempt)));
+    violations.extend(records.cold_starts.iter().filter_map(|start| checker.check_slow_start(start)));
+    violations.extend(checker.check_list_in_force());
+    violations.extend(records.reloads.iter().find_map(|reload| checker.check_configuration_in_force(reload)));
+    violations.extend(records.improper.iter().filter_map(check_improper_client));
+    violations.extend(records.processes.iter().flat_map(check_process));
+    violations.extend(records.usage.iter().find_map(|sample| checker.check_limits(sample)));
+    violations.extend(records.admin_calls.iter().filter_map(check_admin_call));
     violations
 }
 
-fn violation(rule: Rule, request: RequestId, detail: String) -> Option<Violation> {
+fn request_violation(rule: Rule, request: RequestId, detail: String) -> Option<Violation> {
     Some(Violation { rule, request: Some(request), detail })
 }
 
@@ -135,24 +135,24 @@
         Checker { records, settings, attempts }
     }
 
-    fn attempts(&self, id: RequestId) -> &[&'a AttemptRecord] {
+    fn attempts_of(&self, id: RequestId) -> &[&'a AttemptRecord] {
         self.attempts.get(&id).map_or(&[], Vec::as_slice)
     }
 
-    fn final_answer(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
+    fn check_final_answer(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
         let complete_at = request.complete_at?;
-        let own_latest = complete_at + request.deadline + ANSWER_SLACK + SOCKET_SLACK;
+        let own_latest = complete_at + request.deadline + RESPONSE_TOLERANCE + SOCKET_TOLERANCE;
         // Responses on a connection are sent in the order of the requests.
-        let in_turn = self.answered_at(request.behind).map(|at| at + SOCKET_SLACK);
+        let in_turn = self.answered_at(request.behind).map(|at| at + SOCKET_TOLERANCE);
         let latest = in_turn.unwrap_or_default().max(own_latest);
         match &request.outcome {
             Some(Outcome::Left { .. }) => None,
             Some(Outcome::Answered { at, .. }) | Some(Outcome::BrokenAnswer { at }) if *at <= latest => None,
             Some(Outcome::Answered { at, .. }) | Some(Outcome::BrokenAnswer { at }) => {
-                violation(Rule::FinalAnswer, id, format!("answered {:?} too late", *at - latest))
+                request_violation(Rule::FinalAnswer, id, format!("answered {:?} too late", *at - latest))
             }
-            Some(Outcome::Closed { at }) => self.closed_unanswered(id, request, *at),
-            None => violation(Rule::FinalAnswer, id, "no answer and no close".to_string()),
+            Some(Outcome::Closed { at }) => self.check_closed_unanswered(id, request, *at),
+            None => request_violation(Rule::FinalAnswer, id, "no answer and no close".to_string()),
         }
     }
 
@@ -166,9 +166,18 @@
     /// Checks a request whose connection was closed without a response. A connection may be closed between
     /// requests, and a client may send a request that raced with the close again. The connection of a first
     /// request may be closed unread during a crowd or while the listener closes.
-    fn closed_unanswered(&self, id: RequestId, request: &RequestRecord, at: Duration) -> Option<Violation> {
-        if !self.attempts(id).is_empty() {
-            return violation(Rule::ReadAndClosed, id, "attempted, then closed unanswered".to_string());
+    fn check_closed_unanswered(
+        &self,
+        id: RequestId,
+        request: &RequestRecord,
+        at: Duration,
+    ) -> Option<Violation> {
+        if !self.attempts_of(id).is_empty() {
+            return request_violation(
+                Rule::ReadAndClosed,
+                id,
+                "attempted, then closed unanswered".to_string(),
+            );
         }
         // A request that was pipelined behind another one may not have been read.
         if request.behind.is_some() {
@@ -176,29 +185,33 @@
         }
         let waited = at - request.complete_at.unwrap_or(at);
         if request.is_first_on_connection {
-            if self.is_in_crowd(at) || self.is_listener_ending(at) {
+            if self.is_during_crowd(at) || self.is_listener_closing(at) {
                 return None;
             }
-            return violation(
+            return request_violation(
                 Rule::ReadAndClosed,
                 id,
                 format!("closed unanswered after {waited:?}, a new connection"),
             );
         }
-        if waited <= CROSSING_LIMIT {
+        if waited <= CLOSE_RACE_LIMIT {
             return None;
         }
-        violation(Rule::ReadAndClosed, id, format!("closed unanswered after {waited:?}, a kept connection"))
+        request_violation(
+            Rule::ReadAndClosed,
+            id,
+            format!("closed unanswered after {waited:?}, a kept connection"),
+        )
     }
 
-    fn is_in_crowd(&self, at: Duration) -> bool {
-        self.records.crowd.is_some_and(|(from, until)| (from..=until + ANSWER_SLACK).contains(&at))
+    fn is_during_crowd(&self, at: Duration) -> bool {
+        self.records.crowd.is_some_and(|(from, until)| (from..=until + RESPONSE_TOLERANCE).contains(&at))
     }
 
-    fn is_listener_ending(&self, at: Duration) -> bool {
+    fn is_listener_closing(&self, at: Duration) -> bool {
         let processes = &self.records.processes;
         let is_ending = |process: &ProcessRecord| {
-            process.terminated_at.is_some_and(|terminated_at| at >= terminated_at + ACCEPTED_AFTER_TERM)
+            process.terminated_at.is_some_and(|terminated_at| at >= terminated_at + ACCEPT_TIME_AFTER_SIGTERM)
         };
         let is_serving = |process: &ProcessRecord| {
             process.ready_at.is_some_and(|ready_at| ready_at <= at)
@@ -207,58 +220,59 @@
         processes.iter().any(is_ending) && !processes.iter().any(is_serving)
     }
 
-    fn own_answer(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
+    fn check_own_answer(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
         match request.outcome {
             Some(Outcome::Answered { status: 200, is_own_body: false, .. }) => {
-                violation(Rule::OwnAnswer, id, "served with another body".to_string())
+                request_violation(Rule::OwnAnswer, id, "served with another body".to_string())
             }
             _ => None,
         }
     }
 
-    fn departed_client(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
+    fn check_departed_client(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
         let Some(Outcome::Left { at }) = request.outcome else { return None };
-        let latest = at + DEPARTURE_SLACK + SOCKET_SLACK;
-        let late = self.attempts(id).iter().find(|attempt| attempt.first_byte_at > latest)?;
+        let latest = at + DISCONNECT_TOLERANCE + SOCKET_TOLERANCE;
+        let late = self.attempts_of(id).iter().find(|attempt| attempt.first_byte_at > latest)?;
         let detail =
             format!("attempt at {} {:?} after its client left", late.backend, late.first_byte_at - at);
-        violation(Rule::DepartedClient, id, detail)
+        request_violation(Rule::DepartedClient, id, detail)
     }
 
-    fn duplicate(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
-        let mut runs = self.attempts(id).iter().filter(|attempt| attempt.effect == AttemptEffect::MayHaveRun);
+    fn check_duplicate(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
+        let mut runs =
+            self.attempts_of(id).iter().filter(|attempt| attempt.effect == AttemptEffect::MayHaveRun);
         let first = runs.next()?;
         let is_refused = matches!(request.outcome, Some(Outcome::Answered { status: 429 | 503, .. }));
         match request.idempotency {
             Idempotency::Idempotent => None,
             Idempotency::Deduplicated => {
-                let window = self.settings.deduplication_window + SOCKET_SLACK;
+                let window = self.settings.deduplication_window + SOCKET_TOLERANCE;
                 let late = runs.find(|attempt| attempt.first_byte_at > first.first_byte_at + window)?;
                 let age = late.first_byte_at - first.first_byte_at;
-                violation(Rule::Duplicate, id, format!("repeated {age:?} after it may have run"))
+                request_violation(Rule::Duplicate, id, format!("repeated {age:?} after it may have run"))
             }
             Idempotency::NonIdempotent => match runs.next() {
                 Some(again) => {
                     let detail = format!("ran at {} and at {}", first.backend, again.backend);
-                    violation(Rule::Duplicate, id, detail)
+                    request_violation(Rule::Duplicate, id, detail)
                 }
                 None if is_refused => {
                     let detail = format!("refused, and may have run at {}", first.backend);
-                    violation(Rule::Duplicate, id, detail)
+                    request_violation(Rule::Duplicate, id, detail)
                 }
                 None => None,
             },
         }
     }
 
-    fn told_deadline(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
+    fn check_told_deadline(&self, id: RequestId, request: &RequestRecord) -> Option<Violation> {
         let complete_at = request.complete_at?;
-        self.attempts(id).iter().find_map(|attempt| {
-            let told = attempt.told_deadline?;
-            let left = (complete_at + request.deadline).saturating_sub(attempt.first_byte_at);
-            let most = left + DEADLINE_SLACK;
-            let detail = format!("{} was told {told:?}, {left:?} were left", attempt.backend);
-            if told > most { violation(Rule::ToldDeadline, id, detail) } else { None }
+        self.attempts_of(id).iter().find_map(|attempt| {
+            let sent = attempt.sent_deadline?;
+            let remaining = (complete_at + request.deadline).saturating_sub(attempt.first_byte_at);
+            let limit = remaining + DEADLINE_TOLERANCE;
+            let detail = format!("{} was told {sent:?}, {remaining:?} were left", attempt.backend);
+            if sent > limit { request_violation(Rule::ToldDeadline, id, detail) } else { None }
         })
     }
 
@@ -292,15 +306,16 @@
     /// processes, because the records do not show which of them got it.
     fn written_at(&self, version: Option<u64>) -> Option<Duration> {
         let version = version?;
-        let answer = self.records.list_answers.iter().find(|answer| answer.version >= version)?;
-        let lives = |process: &&ProcessRecord| {
-            process.started_at <= answer.at && process.ended_at.is_none_or(|ended_at| ended_at > answer.at)
+        let response = self.records.list_responses.iter().find(|response| response.version >= version)?;
+        let is_alive = |process: &&ProcessRecord| {
+            process.started_at <= response.at
+                && process.ended_at.is_none_or(|ended_at| ended_at > response.at)
         };
-        let processes = self.records.processes.iter().filter(lives).count();
-        if processes > 1 { None } else { Some(answer.at) }
+        let processes = self.records.processes.iter().filter(is_alive).count();
+        if processes > 1 { None } else { Some(response.at) }
     }
 
-    fn drain(&self, attempt: &AttemptRecord) -> Option<Violation> {
+    fn check_drain(&self, attempt: &AttemptRecord) -> Option<Violation> {
         let withdrawn = self.records.withdrawals.iter().find(|withdrawal| {
             let deadline = match withdrawal.cause {
                 WithdrawalCause::Listed => self.settings.drain_deadline,
@@ -310,18 +325,18 @@
                 WithdrawalCause::Listed => self.notified_at(withdrawal.from, withdrawal.version),
                 WithdrawalCause::Suspended => withdrawal.from,
             };
-            let latest = notified_at + deadline + SOCKET_SLACK;
+            let latest = notified_at + deadline + SOCKET_TOLERANCE;
             let is_over = withdrawal.until.is_some_and(|until| attempt.first_byte_at >= until);
             withdrawal.backend == attempt.backend && attempt.first_byte_at > latest && !is_over
         })?;
         let age = attempt.first_byte_at - withdrawn.from;
         let detail = format!("sent to {} {age:?} after it was {:?}", attempt.backend, withdrawn.cause);
-        violation(Rule::Drain, attempt.request, detail)
+        request_violation(Rule::Drain, attempt.request, detail)
     }
 
     /// Checks that the number of requests that a cold backend gets in any window of `overload_span` stays
     /// within what the settings allow at that time.
-    fn slow_start(&self, start: &ColdStart) -> Option<Violation> {
+    fn check_slow_start(&self, start: &ColdStart) -> Option<Violation> {
         let end = start.at + self.settings.warm_up;
         let notified_at = self.notified_at(start.at, None);
         let arrivals: Vec<Duration> = self
@@ -335,11 +350,11 @@
         let span = self.settings.overload_span;
         for (index, &from) in arrivals.iter().enumerate() {
             let count = arrivals[index..].iter().take_while(|&&at| at < from + span).count();
-            let most = self.allowed_while_cold(start, from);
-            if count as f64 > most {
+            let limit = self.limit_while_cold(start, from);
+            if count as f64 > limit {
                 let age = from - start.at;
                 let detail = format!(
-                    "{} got {count} requests in {span:?}, {age:?} after its start, of {most:.0}",
+                    "{} got {count} requests in {span:?}, {age:?} after its start, of {limit:.0}",
                     start.backend
                 );
                 return Some(Violation { rule: Rule::SlowStart, request: None, detail });
@@ -348,32 +363,36 @@
         None
     }
 
-    fn allowed_while_cold(&self, start: &ColdStart, from: Duration) -> f64 {
+    fn limit_while_cold(&self, start: &ColdStart, from: Duration) -> f64 {
         let settings = self.settings;
         let progress = (from - start.at).as_secs_f64() / settings.warm_up.as_secs_f64();
         let fraction = settings.initial_capacity + (1.0 - settings.initial_capacity) * progress;
         let mean =
             settings.overload_multiple * fraction * start.warm_rate * settings.overload_span.as_secs_f64();
-        if mean < FEW_REQUESTS { mean + 3.0 * mean.sqrt() + 3.0 } else { mean + 2.0 * mean.sqrt() + 2.0 }
+        if mean < WIDE_ALLOWANCE_BELOW_REQUESTS {
+            mean + 3.0 * mean.sqrt() + 3.0
+        } else {
+            mean + 2.0 * mean.sqrt() + 2.0
+        }
     }
 
     /// Checks that each change of the endpoint list, or a later one, takes effect in time in each process
     /// that runs for that long.
-    fn list_in_force(&self) -> Option<Violation> {
+    fn check_list_in_force(&self) -> Option<Violation> {
         for process in &self.records.processes {
             for change in &self.records.list_changes {
                 let reachable_at = self.reachable_at(change.at);
                 let from = process.ready_at.unwrap_or(process.started_at).max(reachable_at);
-                let latest = from + LIST_LIMIT + SOCKET_SLACK;
+                let latest = from + LIST_LIMIT + SOCKET_TOLERANCE;
                 let ends_at = process.terminated_at.or(process.ended_at);
                 if ends_at.is_some_and(|ends_at| ends_at < latest) {
                     continue;
                 }
-                let held = process
+                let reported = process
                     .log
                     .iter()
                     .find(|(_, line)| list_version(line).is_some_and(|version| version >= change.version));
-                if held.is_none_or(|(at, _)| *at > latest) {
+                if reported.is_none_or(|(at, _)| *at > latest) {
                     let detail =
                         format!("version {} is not in force {LIST_LIMIT:?} after {from:?}", change.version);
                     return Some(Violation { rule: Rule::ListInForce, request: None, detail });
@@ -385,9 +404,9 @@
 
     /// Checks that a new configuration, or a later one, takes effect in time in a process that runs for that
     /// long.
-    fn configuration_in_force(&self, reload: &ReloadRecord) -> Option<Violation> {
+    fn check_configuration_in_force(&self, reload: &ReloadRecord) -> Option<Violation> {
         let process = self.records.processes.get(reload.process)?;
-        let latest = reload.at + CONFIGURATION_LIMIT + SOCKET_SLACK;
+        let latest = reload.at + CONFIGURATION_LIMIT + SOCKET_TOLERANCE;
         let ends_at = process.terminated_at.or(process.ended_at);
         if ends_at.is_some_and(|ends_at| ends_at < latest) {
             return None;
@@ -403,7 +422,7 @@
         Some(Violation { rule: Rule::ConfigurationInForce, request: None, detail })
     }
 
-    fn limits(&self, sample: &UsageSample) -> Option<Violation> {
+    fn check_limits(&self, sample: &UsageSample) -> Option<Violation> {
         let is_within = sample.descriptors <= self.settings.max_descriptors
             && sample.memory <= self.settings.memory_bytes;
         let detail =
@@ -426,8 +445,8 @@
     version.parse().ok()
 }
 
-fn improper_client(client: &ImproperRecord) -> Option<Violation> {
-    let latest = client.connected_at + IMPROPER_LIMIT + SOCKET_SLACK;
+fn check_improper_client(client: &ImproperRecord) -> Option<Violation> {
+    let latest = client.connected_at + IMPROPER_LIMIT + SOCKET_TOLERANCE;
     let detail = match client.ended_at {
         Some(ended_at) if ended_at <= latest => return None,
         Some(ended_at) => format!("ended after {:?}", ended_at - client.connected_at),
@@ -436,29 +455,35 @@
     Some(Violation { rule: Rule::ImproperClient, request: None, detail })
 }
 
-fn process(process: &ProcessRecord) -> Vec<Violation> {
+fn check_process(process: &ProcessRecord) -> Vec<Violation> {
     let mut violations = Vec::new();
-    let mut broken = |rule, detail: String| violations.push(Violation { rule, request: None, detail });
-    let is_told_before_ready = process.terminated_at.is_some() && process.ready_at.is_none();
+    let mut add_violation = |rule, detail: String| violations.push(Violation { rule, request: None, detail });
+    let is_terminated_before_ready = process.terminated_at.is_some() && process.ready_at.is_none();
     let is_ready = process.ready_at.is_some_and(|at| at <= process.started_at + READY_LIMIT);
-    if !is_ready && !is_told_before_ready {
-        broken(Rule::Ready, format!("started at {:?}, ready at {:?}", process.started_at, process.ready_at));
+    if !is_ready && !is_terminated_before_ready {
+        add_violation(
+            Rule::Ready,
+            format!("started at {:?}, ready at {:?}", process.started_at, process.ready_at),
+        );
     }
     if process.was_killed {
-        broken(Rule::Ends, format!("told to end at {:?}, still there at the kill", process.terminated_at));
+        add_violation(
+            Rule::Ends,
+            format!("told to end at {:?}, still there at the kill", process.terminated_at),
+        );
     } else if process.terminated_at.is_none() && process.ended_at.is_some() {
-        broken(Rule::Ends, format!("ended at {:?} without being told", process.ended_at));
+        add_violation(Rule::Ends, format!("ended at {:?} without being told", process.ended_at));
     } else if process.ended_at.is_some() && process.ready_at.is_some() && !process.is_success {
-        broken(Rule::Ends, "ended with an error".to_string());
+        add_violation(Rule::Ends, "ended with an error".to_string());
     }
     if let Some((at, line)) = process.log.iter().find(|(_, line)| !is_known_line(line)) {
-        broken(Rule::Log, format!("at {at:?}: {line}"));
+        add_violation(Rule::Log, format!("at {at:?}: {line}"));
     }
     violations
 }
 
-fn admin(call: &AdminCall) -> Option<Violation> {
-    if call.took.is_some_and(|took| took <= ADMIN_LIMIT + SOCKET_SLACK) {
+fn check_admin_call(call: &AdminCall) -> Option<Violation> {
+    if call.took.is_some_and(|took| took <= ADMIN_LIMIT + SOCKET_TOLERANCE) {
         return None;
     }
     let detail = format!("{} at {:?} took {:?}", call.path, call.at, call.took);
--- a/crates/scale-test/src/soak/runner.rs
+++ b/crates/scale-test/src/soak/runner.rs
@@ -20,14 +20,14 @@
 use tokio::time::{sleep, sleep_until};
 
 /// Delay before a series of reloads, so that no process is reloaded sooner than this after its start.
-const LEAST_AGE_FOR_RELOAD: Duration = Duration::from_secs(1);
+const MIN_AGE_FOR_RELOAD: Duration = Duration::from_secs(1);
 /// Minimum number of backends that neither drain nor crash in a run.
-const LEAST_BACKENDS: usize = 2;
+const MIN_SERVING_BACKENDS: usize = 2;
 /// Delay between the restart of a backend and its entry in the endpoint list.
-const NOTICE_OF_RESTART: Duration = Duration::from_millis(50);
+const RESTART_LISTING_DELAY: Duration = Duration::from_millis(50);
 
 /// A soak run in progress.
-struct Play {
+struct SoakRun {
     plan: SoakPlan,
     recorder: Recorder,
     backends: Vec<Arc<Backend>>,
@@ -45,8 +45,8 @@
 ///
 /// Returns an error if the backends, discovery or the program can't be started, or if a configuration file
 /// can't be written.
-pub async fn play(plan: &SoakPlan, program: &Path) -> anyhow::Result<Records> {
-    let folder = tempfile::tempdir().context("creating a temporary directory")?;
+pub async fn run_plan(plan: &SoakPlan, program: &Path) -> anyhow::Result<Records> {
+    let directory = tempfile::tempdir().context("creating a temporary directory")?;
     let recorder = Recorder::start();
     let mut tasks = JoinSet::new();
     let mut backends = Vec::new();
@@ -57,19 +57,19 @@
     let hosts: Vec<Value> = backends
         .iter()
         .enumerate()
-        .map(|(number, backend)| host(backend, zones[number % zones.len()], "SERVING", 0))
+        .map(|(number, backend)| endpoint_json(backend, zones[number % zones.len()], "SERVING", 0))
         .collect();
     let discovery = Discovery::start(plan.seed, hosts, recorder.clone(), &mut tasks).await?;
     let instance = ProxyInstance::new(
         program,
-        folder.path(),
+        directory.path(),
         plan.seed,
         plan.settings.clone(),
         discovery.addresses,
         recorder.clone(),
     );
     let instance = instance.await?;
-    let play = Arc::new(Play {
+    let soak_run = Arc::new(SoakRun {
         plan: plan.clone(),
         recorder: recorder.clone(),
         backends,
@@ -78,12 +78,12 @@
         withdrawn: Mutex::default(),
         pids: Arc::default(),
     });
-    play.run(&mut tasks).await?;
+    soak_run.run(&mut tasks).await?;
     tasks.shutdown().await;
     Ok(std::mem::take(&mut *recorder.records()))
 }
 
-fn host(backend: &Backend, zone: &str, health: &str, started_at_ms: u64) -> Value {
+fn endpoint_json(backend: &Backend, zone: &str, health: &str, started_at_ms: u64) -> Value {
     json!({"host": backend.name, "dial": backend.address.to_string(), "site": zone, "class": "m", "block": 1,
            "health": health, "share": 1.0, "born_ms": started_at_ms})
 }
@@ -92,12 +92,12 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-impl Play {
+impl SoakRun {
     async fn run(self: &Arc<Self>, tasks: &mut JoinSet<()>) -> anyhow::Result<()> {
         let process = self.start_process().await?;
         self.instance.wait_until_ready(&process).await;
-        tasks.spawn(self.instance.clone().watch_usage(self.pids.clone()));
-        let (over, is_over) = watch::channel(false);
+        tasks.spawn(self.instance.clone().sample_usage(self.pids.clone()));
+        let (over_sender, is_over) = watch::channel(false);
         let clients = Clients::new(
             self.instance.address,
             self.plan.settings.clone(),
@@ -105,25 +105,25 @@
             self.recorder.clone(),
             is_over,
         );
-        let mut running = JoinSet::new();
+        let mut client_tasks = JoinSet::new();
         for number in 0..self.plan.clients.clients {
-            running.spawn(clients.clone().run(self.random(number as u64)));
+            client_tasks.spawn(clients.clone().run(self.random_stream(number as u64)));
         }
-        let begun_at = self.recorder.now();
+        let load_started_at = self.recorder.now();
         if let Some(crowd) = self.plan.crowd {
-            running.spawn(self.clone().run_crowd(crowd, begun_at, clients.clone()));
+            client_tasks.spawn(self.clone().run_crowd(crowd, load_started_at, clients.clone()));
         }
-        self.schedule_faults(begun_at, tasks);
-        let process = self.run_signals(begun_at, process).await?;
-        sleep_until(self.recorder.instant(begun_at + self.plan.stop_at)).await;
+        self.schedule_faults(load_started_at, tasks);
+        let process = self.run_operator_actions(load_started_at, process).await?;
+        sleep_until(self.recorder.instant(load_started_at + self.plan.stop_at)).await;
         self.stop(process).await?;
-        over.send_replace(true);
-        while running.join_next().await.is_some() {}
+        over_sender.send_replace(true);
+        while client_tasks.join_next().await.is_some() {}
         Ok(())
     }
 
     /// Returns the random stream of one part of the run; each part has its own.
-    fn random(&self, part: u64) -> StdRng {
+    fn random_stream(&self, part: u64) -> StdRng {
         StdRng::seed_from_u64(self.plan.seed.wrapping_mul(1 << 16).wrapping_add(part + 1))
     }
 
@@ -135,47 +135,49 @@
         Ok(process)
     }
 
-    async fn run_crowd(self: Arc<Self>, crowd: CrowdPlan, begun_at: Duration, clients: Arc<Clients>) {
-        sleep_until(self.recorder.instant(begun_at + crowd.from)).await;
-        self.recorder.records().crowd = Some((begun_at + crowd.from, begun_at + crowd.until));
-        let (over, is_over) = watch::channel(false);
-        let crowd_clients = clients.with_end(is_over);
+    async fn run_crowd(self: Arc<Self>, crowd: CrowdPlan, load_started_at: Duration, clients: Arc<Clients>) {
+        sleep_until(self.recorder.instant(load_started_at + crowd.from)).await;
+        self.recorder.records().crowd = Some((load_started_at + crowd.from, load_started_at + crowd.until));
+        let (over_sender, is_over) = watch::channel(false);
+        let crowd_clients = clients.for_crowd(is_over);
         let mut members = JoinSet::new();
         for number in 0..crowd.clients {
             // The streams after those of the regular clients.
-            let random = self.random((1 << 8) + number as u64);
-            members.spawn(crowd_clients.clone().crowd(crowd.kind, random));
+            let random = self.random_stream((1 << 8) + number as u64);
+            members.spawn(crowd_clients.clone().run_crowd_client(crowd.kind, random));
         }
-        let mut play_is_over = clients.is_over.clone();
+        let mut clients_are_over = clients.is_over.clone();
         tokio::select! {
-            () = sleep_until(self.recorder.instant(begun_at + crowd.until)) => {}
-            _ = async { play_is_over.wait_for(|is_over| *is_over).await.is_ok() } => {}
+            () = sleep_until(self.recorder.instant(load_started_at + crowd.until)) => {}
+            _ = async { clients_are_over.wait_for(|is_over| *is_over).await.is_ok() } => {}
         }
-        over.send_replace(true);
+        over_sender.send_replace(true);
         while members.join_next().await.is_some() {}
     }
 
     /// Spawns one task per fault, because faults of backends and of discovery overlap.
-    fn schedule_faults(self: &Arc<Self>, begun_at: Duration, tasks: &mut JoinSet<()>) {
+    fn schedule_faults(self: &Arc<Self>, load_started_at: Duration, tasks: &mut JoinSet<()>) {
         for scheduled in &self.plan.events {
-            let (play, at, event) = (self.clone(), begun_at + scheduled.at, scheduled.event);
+            let (soak_run, at, event) = (self.clone(), load_started_at + scheduled.at, scheduled.event);
             tasks.spawn(async move {
-                sleep_until(play.recorder.instant(at)).await;
-                play.fault(event).await;
+                sleep_until(soak_run.recorder.instant(at)).await;
+                soak_run.inject_fault(event).await;
             });
         }
     }
 
-    async fn fault(&self, event: SoakEvent) {
+    async fn inject_fault(&self, event: SoakEvent) {
         match event {
             SoakEvent::Backend { backend, behavior, lasts } => {
-                self.backends[backend].behave(behavior);
+                self.backends[backend].set_behavior(behavior);
                 sleep(lasts).await;
-                self.backends[backend].behave(BackendBehavior::Serve);
+                self.backends[backend].set_behavior(BackendBehavior::Serve);
+            }
+            SoakEvent::Drain { backend, gone_after } => self.drain_backend(backend, gone_after).await,
+            SoakEvent::Crash { backend, back_after } => self.crash_backend(backend, back_after).await,
+            SoakEvent::Discovery { behavior, lasts } => {
+                self.discovery.change_behavior_for(behavior, lasts).await
             }
-            SoakEvent::Drain { backend, gone_after } => self.drain(backend, gone_after).await,
-            SoakEvent::Crash { backend, back_after } => self.crash(backend, back_after).await,
-            SoakEvent::Discovery { behavior, lasts } => self.discovery.fail_for(behavior, lasts).await,
             SoakEvent::Reload { .. }
             | SoakEvent::Upgrade { .. }
             | SoakEvent::DrainProxy { .. }
@@ -184,10 +186,10 @@
     }
 
     /// Marks a backend as withdrawn. Returns whether it may be: each backend is withdrawn at most once, and
-    /// `LEAST_BACKENDS` never are.
-    fn withdraw(&self, backend: usize) -> bool {
+    /// `MIN_SERVING_BACKENDS` never are.
+    fn try_withdraw(&self, backend: usize) -> bool {
         let Ok(mut withdrawn) = self.withdrawn.lock() else { return false };
-        withdrawn.len() + LEAST_BACKENDS < self.backends.len() && withdrawn.insert(backend)
+        withdrawn.len() + MIN_SERVING_BACKENDS < self.backends.len() && withdrawn.insert(backend)
     }
 
     fn zone(&self, backend: usize) -> &str {
@@ -195,13 +197,13 @@
         zones[backend % zones.len()]
     }
 
-    async fn drain(&self, number: usize, gone_after: Duration) {
-        if !self.withdraw(number) {
+    async fn drain_backend(&self, number: usize, gone_after: Duration) {
+        if !self.try_withdraw(number) {
             return;
         }
         let backend = &self.backends[number];
         let from = self.recorder.now();
-        let version = Some(self.discovery.publish(host(backend, self.zone(number), "DRAINING", 0)));
+        let version = Some(self.discovery.publish(endpoint_json(backend, self.zone(number), "DRAINING", 0)));
         let withdrawal = Withdrawal {
             backend: backend.name.clone(),
             cause: WithdrawalCause::Listed,
@@ -211,12 +213,12 @@
         };
         self.recorder.records().withdrawals.push(withdrawal);
         sleep(gone_after).await;
-        self.discovery.publish(host(backend, self.zone(number), "DELETED", 0));
+        self.discovery.publish(endpoint_json(backend, self.zone(number), "DELETED", 0));
         backend.crash().await;
     }
 
-    async fn crash(&self, number: usize, back_after: Duration) {
-        if !self.withdraw(number) {
+    async fn crash_backend(&self, number: usize, back_after: Duration) {
+        if !self.try_withdraw(number) {
             return;
         }
         let backend = &self.backends[number];
@@ -227,21 +229,21 @@
             tracing::warn!("{}: backend failed to restart: {error}", backend.name);
             return;
         }
-        sleep(NOTICE_OF_RESTART).await;
-        self.discovery.publish(host(backend, self.zone(number), "SERVING", started_at_ms));
+        sleep(RESTART_LISTING_DELAY).await;
+        self.discovery.publish(endpoint_json(backend, self.zone(number), "SERVING", started_at_ms));
     }
 
     /// Runs signals, upgrades and admin calls one after the other. Returns the process that serves at the
     /// end.
-    async fn run_signals(
+    async fn run_operator_actions(
         self: &Arc<Self>,
-        begun_at: Duration,
+        load_started_at: Duration,
         mut process: ProxyProcess,
     ) -> anyhow::Result<ProxyProcess> {
         for scheduled in &self.plan.events {
-            sleep_until(self.recorder.instant(begun_at + scheduled.at)).await;
+            sleep_until(self.recorder.instant(load_started_at + scheduled.at)).await;
             match scheduled.event {
-                SoakEvent::Reload { count, gap } => self.reload(&process, count, gap).await?,
+                SoakEvent::Reload { count, gap } => self.reload_in_series(&process, count, gap).await?,
                 SoakEvent::Upgrade { abandoned_after } => {
                     process = self.upgrade(process, abandoned_after).await?
                 }
@@ -251,7 +253,7 @@
                     self.instance.call_admin(&process, "POST", "/v1/proxy/activate").await;
                 }
                 SoakEvent::Suspend { backend, resumed_after } => {
-                    self.suspend(&process, backend, resumed_after).await;
+                    self.suspend_backend(&process, backend, resumed_after).await;
                 }
                 SoakEvent::Backend { .. }
                 | SoakEvent::Drain { .. }
@@ -262,8 +264,13 @@
         Ok(process)
     }
 
-    async fn reload(&self, process: &ProxyProcess, count: u32, gap: Duration) -> anyhow::Result<()> {
-        sleep(LEAST_AGE_FOR_RELOAD).await;
+    async fn reload_in_series(
+        &self,
+        process: &ProxyProcess,
+        count: u32,
+        gap: Duration,
+    ) -> anyhow::Result<()> {
+        sleep(MIN_AGE_FOR_RELOAD).await;
         for number in 1..=count {
             // Only the last file of a series is torn: one that the next reload replaces as soon as it is
             // complete can't take effect.
@@ -287,16 +294,16 @@
         if let Some(abandoned_after) = abandoned_after {
             sleep(abandoned_after).await;
             self.instance.terminate(&new);
-            self.instance.wait_for_end(&mut new).await;
+            self.instance.wait_for_exit(&mut new).await;
             return Ok(old);
         }
         self.instance.wait_until_ready(&new).await;
         self.instance.terminate(&old);
-        self.instance.wait_for_end(&mut old).await;
+        self.instance.wait_for_exit(&mut old).await;
         Ok(new)
     }
 
-    async fn suspend(&self, process: &ProxyProcess, number: usize, resumed_after: Duration) {
+    async fn suspend_backend(&self, process: &ProxyProcess, number: usize, resumed_after: Duration) {
         let name = &self.backends[number].name;
         if !self.instance.call_admin(process, "POST", &format!("/v1/backends/{name}/suspend")).await {
             return;
@@ -321,7 +328,7 @@
             sleep(again).await;
             self.instance.terminate(&process);
         }
-        self.instance.wait_for_end(&mut process).await;
+        self.instance.wait_for_exit(&mut process).await;
         Ok(())
     }
 }
--- a/crates/scale-test/tests/soak.rs
+++ b/crates/scale-test/tests/soak.rs
@@ -9,7 +9,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../target/release/foldhitch-proxy")
 }
 
-async fn holds(seed: u64) {
+async fn assert_rules_hold(seed: u64) {
     let program = program();
     assert!(program.is_file(), "{}: build the release program first", program.display());
     let report = soak::run(seed, &program).await.expect("the soak runs");
@@ -22,17 +22,17 @@
 /// second SIGTERM.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_with_signals_in_series_holds() {
-    holds(12).await;
+    assert_rules_hold(12).await;
 }
 
 /// The seed contains a crowd that stays during the stop, and outages of discovery.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_with_a_crowd_holds() {
-    holds(106).await;
+    assert_rules_hold(106).await;
 }
 
 /// The seed contains backends that hang, decline and send endless responses, and a series of reloads.
 #[tokio::test(flavor = "multi_thread")]
 async fn seed_with_faults_of_backends_holds() {
-    holds(101).await;
+    assert_rules_hold(101).await;
 }
--- a/crates/scale-test/tests/soak_rules.rs
+++ b/crates/scale-test/tests/soak_rules.rs
@@ -51,7 +51,7 @@
         backend: "s-1".to_string(),
         first_byte_at: at,
         complete_at: at,
-        told_deadline: None,
+        sent_deadline: None,
         effect,
     }
 }
@@ -76,7 +76,7 @@
     rules
 }
 
-fn assert_bites(rule: Rule, kept: &Records, broken_records: &Records) {
+fn assert_rule_detects(rule: Rule, kept: &Records, broken_records: &Records) {
     assert_eq!(broken(kept), [], "{rule:?} is kept");
     assert_eq!(broken(broken_records), [rule], "{rule:?} is broken");
 }
@@ -85,7 +85,7 @@
 fn final_answer_comes_within_half_a_second_of_the_deadline() {
     let answered = |at| with_request(request(Idempotency::Idempotent, served(at)), Vec::new());
     let latest = SENT_AT + DEADLINE + ms(550);
-    assert_bites(Rule::FinalAnswer, &answered(latest), &answered(latest + ms(1)));
+    assert_rule_detects(Rule::FinalAnswer, &answered(latest), &answered(latest + ms(1)));
     let in_turn = |at| {
         let late = SENT_AT + DEADLINE * 2;
         let first =
@@ -94,7 +94,7 @@
             RequestRecord { behind: Some(ID), ..request(Idempotency::Idempotent, served(late + at)) };
         Records { requests: [(ID, first), (ID + 1, second)].into(), ..Records::default() }
     };
-    assert_bites(Rule::FinalAnswer, &in_turn(ms(50)), &in_turn(ms(51)));
+    assert_rule_detects(Rule::FinalAnswer, &in_turn(ms(50)), &in_turn(ms(51)));
     let never = with_request(request(Idempotency::Idempotent, None), Vec::new());
     assert_eq!(broken(&never), [Rule::FinalAnswer]);
 }
@@ -107,7 +107,7 @@
         with_request(RequestRecord { is_first_on_connection, ..request }, attempts)
     };
     let crossing = closed(false, ms(100), Vec::new());
-    assert_bites(Rule::ReadAndClosed, &crossing, &closed(false, ms(101), Vec::new()));
+    assert_rule_detects(Rule::ReadAndClosed, &crossing, &closed(false, ms(101), Vec::new()));
     assert_eq!(broken(&closed(true, ms(1), Vec::new())), [Rule::ReadAndClosed], "a new connection");
     let attempts = vec![attempt(SENT_AT, AttemptEffect::Declined)];
     assert_eq!(
@@ -125,7 +125,7 @@
         let outcome = Outcome::Answered { status: 200, is_own_body, at: SENT_AT };
         with_request(request(Idempotency::Idempotent, Some(outcome)), Vec::new())
     };
-    assert_bites(Rule::OwnAnswer, &answered(true), &answered(false));
+    assert_rule_detects(Rule::OwnAnswer, &answered(true), &answered(false));
 }
 
 #[test]
@@ -134,7 +134,7 @@
         let request = request(Idempotency::Idempotent, Some(Outcome::Left { at: SENT_AT }));
         with_request(request, vec![attempt(SENT_AT + after, AttemptEffect::MayHaveRun)])
     };
-    assert_bites(Rule::DepartedClient, &left(ms(150)), &left(ms(151)));
+    assert_rule_detects(Rule::DepartedClient, &left(ms(150)), &left(ms(151)));
 }
 
 #[test]
@@ -145,8 +145,12 @@
         with_request(request(Idempotency::NonIdempotent, Some(outcome)), attempts)
     };
     use AttemptEffect::{Declined, MayHaveRun};
-    assert_bites(Rule::Duplicate, &runs(200, &[Declined, MayHaveRun]), &runs(200, &[MayHaveRun, MayHaveRun]));
-    assert_bites(Rule::Duplicate, &runs(503, &[Declined]), &runs(503, &[MayHaveRun]));
+    assert_rule_detects(
+        Rule::Duplicate,
+        &runs(200, &[Declined, MayHaveRun]),
+        &runs(200, &[MayHaveRun, MayHaveRun]),
+    );
+    assert_rule_detects(Rule::Duplicate, &runs(503, &[Declined]), &runs(503, &[MayHaveRun]));
 }
 
 #[test]
@@ -155,17 +159,17 @@
         let attempts = [SENT_AT, SENT_AT + after].map(|at| attempt(at, AttemptEffect::MayHaveRun));
         with_request(request(Idempotency::Deduplicated, served(SENT_AT)), attempts.to_vec())
     };
-    assert_bites(Rule::Duplicate, &repeated(ms(2050)), &repeated(ms(2051)));
+    assert_rule_detects(Rule::Duplicate, &repeated(ms(2050)), &repeated(ms(2051)));
 }
 
 #[test]
 fn a_backend_is_told_what_is_left_of_the_deadline() {
     let told = |deadline| {
         let attempt = attempt(SENT_AT + ms(400), AttemptEffect::MayHaveRun);
-        let attempt = AttemptRecord { told_deadline: Some(deadline), ..attempt };
+        let attempt = AttemptRecord { sent_deadline: Some(deadline), ..attempt };
         with_request(request(Idempotency::Idempotent, served(SENT_AT)), vec![attempt])
     };
-    assert_bites(Rule::ToldDeadline, &told(ms(750)), &told(ms(751)));
+    assert_rule_detects(Rule::ToldDeadline, &told(ms(750)), &told(ms(751)));
 }
 
 fn withdrawn(cause: WithdrawalCause, sent_after: Duration) -> Records {
@@ -181,26 +185,26 @@
 #[test]
 fn nothing_new_goes_to_a_backend_that_drains_or_is_suspended() {
     let listed = |after| withdrawn(WithdrawalCause::Listed, after);
-    assert_bites(Rule::Drain, &listed(ms(550)), &listed(ms(551)));
+    assert_rule_detects(Rule::Drain, &listed(ms(550)), &listed(ms(551)));
     let suspended = |after| withdrawn(WithdrawalCause::Suspended, after);
-    assert_bites(Rule::Drain, &suspended(ms(50)), &suspended(ms(51)));
+    assert_rule_detects(Rule::Drain, &suspended(ms(50)), &suspended(ms(51)));
 }
 
 #[test]
-fn a_drain_behind_an_outage_of_discovery_counts_six_seconds_after_its_end() {
+fn drain_during_discovery_outage_counts_from_list_delivery() {
     let outage = DiscoveryOutage { from: ms(900), until: ms(2000) };
     let listed = |after| {
         let records = withdrawn(WithdrawalCause::Listed, after);
         Records { discovery_outages: vec![outage], ..records }
     };
     // The remaining 1 s of the outage, 6 s for the list, the drain deadline of 0.5 s, and 50 ms for sockets.
-    assert_bites(Rule::Drain, &listed(ms(7550)), &listed(ms(7551)));
+    assert_rule_detects(Rule::Drain, &listed(ms(7550)), &listed(ms(7551)));
     let written = |after| {
-        let answer = ListAnswer { version: 2, at: ms(2500) };
-        Records { list_answers: vec![answer], ..listed(after) }
+        let answer = ListResponse { version: 2, at: ms(2500) };
+        Records { list_responses: vec![answer], ..listed(after) }
     };
     // 1.5 s until discovery has written the list, the drain deadline of 0.5 s, and 50 ms for sockets.
-    assert_bites(Rule::Drain, &written(ms(2050)), &written(ms(2051)));
+    assert_rule_detects(Rule::Drain, &written(ms(2050)), &written(ms(2051)));
 }
 
 #[test]
@@ -213,7 +217,7 @@
     };
     // A cold capacity of a quarter of 32 requests per second, overloaded twofold for 1 s, gives a mean of 16;
     // the allowance for random variation adds 3 * sqrt(16) + 3.
-    assert_bites(Rule::SlowStart, &arrivals(31), &arrivals(32));
+    assert_rule_detects(Rule::SlowStart, &arrivals(31), &arrivals(32));
 }
 
 #[test]
@@ -226,7 +230,7 @@
         let change = ListChange { version: 2, at: ms(1000) };
         Records { list_changes: vec![change], ..with_process(ProcessRecord { log, ..process() }) }
     };
-    assert_bites(Rule::ListInForce, &held_at(ms(7050)), &held_at(ms(7051)));
+    assert_rule_detects(Rule::ListInForce, &held_at(ms(7050)), &held_at(ms(7051)));
 }
 
 #[test]
@@ -237,7 +241,7 @@
         let reload = ReloadRecord { process: 0, version: 3, at: ms(1000) };
         Records { reloads: vec![reload], ..with_process(ProcessRecord { log, ..process() }) }
     };
-    assert_bites(Rule::ConfigurationInForce, &applied_at(ms(5050)), &applied_at(ms(5051)));
+    assert_rule_detects(Rule::ConfigurationInForce, &applied_at(ms(5050)), &applied_at(ms(5051)));
 }
 
 #[test]
@@ -246,21 +250,21 @@
         let improper = vec![ImproperRecord { connected_at: ms(1000), ended_at }];
         Records { improper, ..Records::default() }
     };
-    assert_bites(Rule::ImproperClient, &ended(Some(ms(4050))), &ended(Some(ms(4051))));
+    assert_rule_detects(Rule::ImproperClient, &ended(Some(ms(4050))), &ended(Some(ms(4051))));
     assert_eq!(broken(&ended(None)), [Rule::ImproperClient]);
 }
 
 #[test]
 fn a_process_is_ready_in_time() {
     let ready = |at| with_process(ProcessRecord { ready_at: Some(at), ..process() });
-    assert_bites(Rule::Ready, &ready(ms(10_000)), &ready(ms(10_001)));
+    assert_rule_detects(Rule::Ready, &ready(ms(10_000)), &ready(ms(10_001)));
 }
 
 #[test]
 fn a_process_ends_by_itself_once_it_is_told() {
     let told = ProcessRecord { terminated_at: Some(ms(5000)), ended_at: Some(ms(6000)), ..process() };
     let killed = ProcessRecord { was_killed: true, ..told.clone() };
-    assert_bites(Rule::Ends, &with_process(told.clone()), &with_process(killed));
+    assert_rule_detects(Rule::Ends, &with_process(told.clone()), &with_process(killed));
     let untold = ProcessRecord { terminated_at: None, ..told.clone() };
     assert_eq!(broken(&with_process(untold)), [Rule::Ends]);
     let failed = ProcessRecord { is_success: false, ..told };
@@ -273,7 +277,7 @@
         let usage = vec![UsageSample { at: ms(1), descriptors, memory }];
         Records { usage, ..Records::default() }
     };
-    assert_bites(Rule::Limits, &held(100, 1 << 20), &held(101, 1 << 20));
+    assert_rule_detects(Rule::Limits, &held(100, 1 << 20), &held(101, 1 << 20));
     assert_eq!(broken(&held(100, (1 << 20) + 1)), [Rule::Limits]);
 }
 
@@ -283,7 +287,7 @@
         let call = AdminCall { path: "/v1/proxy/drain".to_string(), at: ms(1), took };
         Records { admin_calls: vec![call], ..Records::default() }
     };
-    assert_bites(Rule::Admin, &took(Some(ms(1050))), &took(Some(ms(1051))));
+    assert_rule_detects(Rule::Admin, &took(Some(ms(1050))), &took(Some(ms(1051))));
     assert_eq!(broken(&took(None)), [Rule::Admin]);
 }
 
@@ -292,7 +296,7 @@
     let logged =
         |line: &str| with_process(ProcessRecord { log: vec![(ms(1), line.to_string())], ..process() });
     let known = logged("foldhitch-proxy: draining");
-    assert_bites(Rule::Log, &known, &logged("thread 'main' panicked at draining"));
+    assert_rule_detects(Rule::Log, &known, &logged("thread 'main' panicked at draining"));
     assert_eq!(broken(&logged("something else")), [Rule::Log]);
 }
 
