--- a/crates/scale-test/tests/soak_rules.rs
+++ b/crates/scale-test/tests/soak_rules.rs
@@ -85,7 +85,9 @@
 fn final_answer_comes_within_half_a_second_of_the_deadline() {
     let answered = |at| with_request(request(Idempotency::Idempotent, served(at)), Vec::new());
     let latest = SENT_AT + DEADLINE + ms(550);
+
     assert_rule_detects(Rule::FinalAnswer, &answered(latest), &answered(latest + ms(1)));
+
     let in_turn = |at| {
         let late = SENT_AT + DEADLINE * 2;
         let first =
@@ -94,7 +96,9 @@
             RequestRecord { behind: Some(ID), ..request(Idempotency::Idempotent, served(late + at)) };
         Records { requests: [(ID, first), (ID + 1, second)].into(), ..Records::default() }
     };
+
     assert_rule_detects(Rule::FinalAnswer, &in_turn(ms(50)), &in_turn(ms(51)));
+
     let never = with_request(request(Idempotency::Idempotent, None), Vec::new());
     assert_eq!(broken(&never), [Rule::FinalAnswer]);
 }
@@ -106,15 +110,18 @@
         let request = request(Idempotency::Idempotent, outcome);
         with_request(RequestRecord { is_first_on_connection, ..request }, attempts)
     };
-    let crossing = closed(false, ms(100), Vec::new());
-    assert_rule_detects(Rule::ReadAndClosed, &crossing, &closed(false, ms(101), Vec::new()));
+    let close_race = closed(false, ms(100), Vec::new());
+
+    assert_rule_detects(Rule::ReadAndClosed, &close_race, &closed(false, ms(101), Vec::new()));
     assert_eq!(broken(&closed(true, ms(1), Vec::new())), [Rule::ReadAndClosed], "a new connection");
+
     let attempts = vec![attempt(SENT_AT, AttemptEffect::Declined)];
     assert_eq!(
         broken(&closed(false, ms(1), attempts)),
         [Rule::ReadAndClosed],
         "a backend received an attempt"
     );
+
     let in_crowd = Records { crowd: Some((ms(0), ms(5000))), ..closed(true, ms(1), Vec::new()) };
     assert_eq!(broken(&in_crowd), [], "during a crowd a new connection may be closed unread");
 }
@@ -125,6 +132,7 @@
         let outcome = Outcome::Answered { status: 200, is_own_body, at: SENT_AT };
         with_request(request(Idempotency::Idempotent, Some(outcome)), Vec::new())
     };
+
     assert_rule_detects(Rule::OwnAnswer, &answered(true), &answered(false));
 }
 
@@ -134,6 +142,7 @@
         let request = request(Idempotency::Idempotent, Some(Outcome::Left { at: SENT_AT }));
         with_request(request, vec![attempt(SENT_AT + after, AttemptEffect::MayHaveRun)])
     };
+
     assert_rule_detects(Rule::DepartedClient, &left(ms(150)), &left(ms(151)));
 }
 
@@ -159,17 +168,19 @@
         let attempts = [SENT_AT, SENT_AT + after].map(|at| attempt(at, AttemptEffect::MayHaveRun));
         with_request(request(Idempotency::Deduplicated, served(SENT_AT)), attempts.to_vec())
     };
+
     assert_rule_detects(Rule::Duplicate, &repeated(ms(2050)), &repeated(ms(2051)));
 }
 
 #[test]
 fn a_backend_is_told_what_is_left_of_the_deadline() {
-    let told = |deadline| {
+    let sent = |deadline| {
         let attempt = attempt(SENT_AT + ms(400), AttemptEffect::MayHaveRun);
         let attempt = AttemptRecord { sent_deadline: Some(deadline), ..attempt };
         with_request(request(Idempotency::Idempotent, served(SENT_AT)), vec![attempt])
     };
-    assert_rule_detects(Rule::ToldDeadline, &told(ms(750)), &told(ms(751)));
+
+    assert_rule_detects(Rule::ToldDeadline, &sent(ms(750)), &sent(ms(751)));
 }
 
 fn withdrawn(cause: WithdrawalCause, sent_after: Duration) -> Records {
@@ -185,8 +196,11 @@
 #[test]
 fn nothing_new_goes_to_a_backend_that_drains_or_is_suspended() {
     let listed = |after| withdrawn(WithdrawalCause::Listed, after);
+
     assert_rule_detects(Rule::Drain, &listed(ms(550)), &listed(ms(551)));
+
     let suspended = |after| withdrawn(WithdrawalCause::Suspended, after);
+
     assert_rule_detects(Rule::Drain, &suspended(ms(50)), &suspended(ms(51)));
 }
 
@@ -197,12 +211,15 @@
         let records = withdrawn(WithdrawalCause::Listed, after);
         Records { discovery_outages: vec![outage], ..records }
     };
+
     // The remaining 1 s of the outage, 6 s for the list, the drain deadline of 0.5 s, and 50 ms for sockets.
     assert_rule_detects(Rule::Drain, &listed(ms(7550)), &listed(ms(7551)));
+
     let written = |after| {
-        let answer = ListResponse { version: 2, at: ms(2500) };
-        Records { list_responses: vec![answer], ..listed(after) }
+        let response = ListResponse { version: 2, at: ms(2500) };
+        Records { list_responses: vec![response], ..listed(after) }
     };
+
     // 1.5 s until discovery has written the list, the drain deadline of 0.5 s, and 50 ms for sockets.
     assert_rule_detects(Rule::Drain, &written(ms(2050)), &written(ms(2051)));
 }
@@ -215,6 +232,7 @@
         let request = request(Idempotency::Idempotent, served(SENT_AT));
         Records { cold_starts: vec![start], ..with_request(request, attempts) }
     };
+
     // A cold capacity of a quarter of 32 requests per second, overloaded twofold for 1 s, gives a mean of 16;
     // the allowance for random variation adds 3 * sqrt(16) + 3.
     assert_rule_detects(Rule::SlowStart, &arrivals(31), &arrivals(32));
@@ -222,7 +240,7 @@
 
 #[test]
 fn a_change_of_the_list_is_in_force_in_time() {
-    let held_at = |at| {
+    let reported_at = |at| {
         let log = vec![(
             at,
             "foldhitch-proxy: endpoint list 3 in force: full, 4 endpoints, from a poll".to_string(),
@@ -230,7 +248,8 @@
         let change = ListChange { version: 2, at: ms(1000) };
         Records { list_changes: vec![change], ..with_process(ProcessRecord { log, ..process() }) }
     };
-    assert_rule_detects(Rule::ListInForce, &held_at(ms(7050)), &held_at(ms(7051)));
+
+    assert_rule_detects(Rule::ListInForce, &reported_at(ms(7050)), &reported_at(ms(7051)));
 }
 
 #[test]
@@ -241,6 +260,7 @@
         let reload = ReloadRecord { process: 0, version: 3, at: ms(1000) };
         Records { reloads: vec![reload], ..with_process(ProcessRecord { log, ..process() }) }
     };
+
     assert_rule_detects(Rule::ConfigurationInForce, &applied_at(ms(5050)), &applied_at(ms(5051)));
 }
 
@@ -250,6 +270,7 @@
         let improper = vec![ImproperRecord { connected_at: ms(1000), ended_at }];
         Records { improper, ..Records::default() }
     };
+
     assert_rule_detects(Rule::ImproperClient, &ended(Some(ms(4050))), &ended(Some(ms(4051))));
     assert_eq!(broken(&ended(None)), [Rule::ImproperClient]);
 }
@@ -257,28 +278,33 @@
 #[test]
 fn a_process_is_ready_in_time() {
     let ready = |at| with_process(ProcessRecord { ready_at: Some(at), ..process() });
+
     assert_rule_detects(Rule::Ready, &ready(ms(10_000)), &ready(ms(10_001)));
 }
 
 #[test]
 fn a_process_ends_by_itself_once_it_is_told() {
-    let told = ProcessRecord { terminated_at: Some(ms(5000)), ended_at: Some(ms(6000)), ..process() };
-    let killed = ProcessRecord { was_killed: true, ..told.clone() };
-    assert_rule_detects(Rule::Ends, &with_process(told.clone()), &with_process(killed));
-    let untold = ProcessRecord { terminated_at: None, ..told.clone() };
-    assert_eq!(broken(&with_process(untold)), [Rule::Ends]);
-    let failed = ProcessRecord { is_success: false, ..told };
+    let terminated = ProcessRecord { terminated_at: Some(ms(5000)), ended_at: Some(ms(6000)), ..process() };
+    let killed = ProcessRecord { was_killed: true, ..terminated.clone() };
+
+    assert_rule_detects(Rule::Ends, &with_process(terminated.clone()), &with_process(killed));
+
+    let not_terminated = ProcessRecord { terminated_at: None, ..terminated.clone() };
+    assert_eq!(broken(&with_process(not_terminated)), [Rule::Ends]);
+
+    let failed = ProcessRecord { is_success: false, ..terminated };
     assert_eq!(broken(&with_process(failed)), [Rule::Ends]);
 }
 
 #[test]
 fn descriptors_and_memory_are_within_their_limits() {
-    let held = |descriptors, memory| {
+    let used = |descriptors, memory| {
         let usage = vec![UsageSample { at: ms(1), descriptors, memory }];
         Records { usage, ..Records::default() }
     };
-    assert_rule_detects(Rule::Limits, &held(100, 1 << 20), &held(101, 1 << 20));
-    assert_eq!(broken(&held(100, (1 << 20) + 1)), [Rule::Limits]);
+
+    assert_rule_detects(Rule::Limits, &used(100, 1 << 20), &used(101, 1 << 20));
+    assert_eq!(broken(&used(100, (1 << 20) + 1)), [Rule::Limits]);
 }
 
 #[test]
@@ -287,6 +313,7 @@
         let call = AdminCall { path: "/v1/proxy/drain".to_string(), at: ms(1), took };
         Records { admin_calls: vec![call], ..Records::default() }
     };
+
     assert_rule_detects(Rule::Admin, &took(Some(ms(1050))), &took(Some(ms(1051))));
     assert_eq!(broken(&took(None)), [Rule::Admin]);
 }
@@ -296,6 +323,7 @@
     let logged =
         |line: &str| with_process(ProcessRecord { log: vec![(ms(1), line.to_string())], ..process() });
     let known = logged("foldhitch-proxy: draining");
+
     assert_rule_detects(Rule::Log, &known, &logged("thread 'main' panicked at draining"));
     assert_eq!(broken(&logged("something else")), [Rule::Log]);
 }
