--- a/crates/scale-test/src/soak/client.rs
+++ b/crates/scale-test/src/soak/client.rs
@@ -287,14 +287,17 @@
             let _ = stream.read(&mut [0; 256]).await;
         };
         let ended_at = tokio::select! {
-            ended = timeout(INCOMPLETE_REQUEST_TIMEOUT, error_or_close) => ended.is_ok().then(|| self.recorder.now()),
-            // The run is over: the proxy's time for its error response or close is cut short.
+            ended = timeout(INCOMPLETE_REQUEST_TIMEOUT, error_or_close) => {
+                ended.is_ok().then(|| self.recorder.now())
+            }
+            // The client stops first, so it is unknown when the proxy would have responded or closed the
+            // connection, and nothing is recorded.
             _ = async { is_over.wait_for(|is_over| *is_over).await.is_ok() } => return,
         };
         self.recorder.records().improper.push(ImproperRecord { connected_at, ended_at });
     }
 
-    /// Returns shared state with the same settings and recorder and another end.
+    /// Returns shared state for the clients of a crowd, which stop on a signal of their own.
     pub fn for_crowd(&self, is_over: watch::Receiver<bool>) -> Arc<Self> {
         // A separate range of ids, above all ids of the regular clients.
         let next_id = AtomicU64::new(FIRST_CROWD_REQUEST_ID);
