--- a/crates/scale-test/src/soak/backend.rs
+++ b/crates/scale-test/src/soak/backend.rs
@@ -1,6 +1,6 @@
-//! Backends that do with each request what their present behavior says, byte by byte.
+//! Simulated backends that read and write HTTP directly on the socket, according to their current behavior.
 
-use super::plan::{BackendBehavior, SoakPlan, play_address};
+use super::plan::{BackendBehavior, SoakPlan, run_address};
 use super::record::{AttemptEffect, AttemptRecord, ColdStart, Recorder, RequestId};
 use std::io;
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// A slow backend takes so many times as long.
-const SLOWDOWN: u32 = 8;
-/// A stray second answer comes so long after the first.
-const STRAY_DELAY: Duration = Duration::from_millis(3);
-/// Pause between two bytes of an answer without an end.
-const TRICKLE: Duration = Duration::from_millis(20);
-/// Longest request head and body that a backend reads.
+/// A slow backend multiplies its service time by this factor.
+const SLOWDOWN_FACTOR: u32 = 8;
+/// Delay between a response and its stray copy.
+const STRAY_ANSWER_DELAY: Duration = Duration::from_millis(3);
+/// Interval between two bytes of a response that is not completed in time.
+const ENDLESS_BYTE_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum size of a request head and body together.
 const MAX_REQUEST_BYTES: usize = 1 << 16;
 
-/// A backend.
+/// A simulated backend.
 pub struct Backend {
-    /// Its name at discovery.
+    /// The name under which discovery lists the backend.
     pub name: String,
-    /// Where it listens, also after a restart.
+    /// The address on which the backend listens; a restart keeps it.
     pub address: SocketAddr,
     state: Mutex<BackendState>,
     service_time: Duration,
@@ -40,16 +40,16 @@
 
 struct BackendState {
     behavior: BackendBehavior,
-    /// When its process started, if that was in this play.
+    /// When the backend was restarted; `None` for a backend that has been warm from the start.
     started_at: Option<Duration>,
-    /// The process: its end resets all connections.
+    /// The tasks that stand for the backend's process; aborting them resets all connections.
     process: JoinSet<()>,
 }
 
 impl Backend {
-    /// Starts a backend that is warm.
+    /// Starts a warm backend.
     pub async fn start(number: usize, plan: &SoakPlan, recorder: Recorder) -> io::Result<Arc<Self>> {
-        let listener = TcpListener::bind((play_address(plan.seed), 0)).await?;
+        let listener = TcpListener::bind((run_address(plan.seed), 0)).await?;
         let state =
             BackendState { behavior: BackendBehavior::Serve, started_at: None, process: JoinSet::new() };
         let backend = Arc::new(Backend {
@@ -63,22 +63,22 @@
             initial_capacity: plan.settings.initial_capacity,
             recorder,
         });
-        backend.run(listener);
+        backend.accept_connections(listener);
         Ok(backend)
     }
 
-    /// Behaves so from now on.
-    pub fn behave(&self, behavior: BackendBehavior) {
+    /// Sets the behavior for the requests that follow.
+    pub fn set_behavior(&self, behavior: BackendBehavior) {
         self.with_state(|state| state.behavior = behavior);
     }
 
-    /// Ends its process: its connections are reset, new ones refused.
+    /// Ends the backend's process: open connections are reset and new ones refused.
     pub async fn crash(&self) {
         let mut process = self.with_state(|state| std::mem::take(&mut state.process));
         process.shutdown().await;
     }
 
-    /// Starts its process again, cold.
+    /// Restarts the backend's process, which is cold.
     pub async fn restart(self: &Arc<Self>) -> io::Result<()> {
         let listener = TcpListener::bind(self.address).await?;
         let at = self.recorder.now();
@@ -88,7 +88,7 @@
         });
         let warm_rate = self.concurrency as f64 / self.service_time.as_secs_f64();
         self.recorder.records().cold_starts.push(ColdStart { backend: self.name.clone(), at, warm_rate });
-        self.run(listener);
+        self.accept_connections(listener);
         Ok(())
     }
 
@@ -96,16 +96,16 @@
         change(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn run(self: &Arc<Self>, listener: TcpListener) {
+    fn accept_connections(self: &Arc<Self>, listener: TcpListener) {
         let backend = self.clone();
         let accept = async move {
             let mut connections = JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
                 let backend = backend.clone();
                 connections.spawn(async move {
-                    // Its end is a reset, as when a process ends.
+                    // Closing the socket sends a reset, as the end of a process does.
                     let _ = stream.set_zero_linger();
-                    // A client that goes is not the backend's concern.
+                    // A disconnect by the proxy is not an error of the backend.
                     let _ = backend.serve(stream).await;
                 });
             }
@@ -121,47 +121,48 @@
                 BackendBehavior::Decline => AttemptEffect::Declined,
                 _ => AttemptEffect::MayHaveRun,
             };
-            self.record(&request, effect);
-            if !self.answer(&mut stream, &request, behavior).await? {
+            self.record_attempt(&request, effect);
+            if !self.respond(&mut stream, &request, behavior).await? {
                 return Ok(());
             }
         }
         Ok(())
     }
 
-    /// Answers, and tells whether the connection goes on.
-    async fn answer(
+    /// Sends the response. Returns whether the connection stays open.
+    async fn respond(
         &self,
         stream: &mut TcpStream,
         request: &ReceivedRequest,
         behavior: BackendBehavior,
     ) -> io::Result<bool> {
-        let served = response("200 OK", "", &request.body());
+        let response = response_text("200 OK", "", &request.body());
         match behavior {
             BackendBehavior::Hang => {
-                // Until the other side gives up.
+                // Waits until the proxy closes the connection.
                 stream.read_u8().await.ok();
                 return Ok(false);
             }
             BackendBehavior::Reset => return Ok(false),
             BackendBehavior::HalfAnswer => {
-                stream.write_all(&served.as_bytes()[..served.len() / 2]).await?;
+                stream.write_all(&response.as_bytes()[..response.len() / 2]).await?;
                 return Ok(false);
             }
             BackendBehavior::Endless => {
-                // As long as the protocol allows: a longer one would be passed on as it comes.
+                // The longest body that the proxy buffers whole; a longer one would be streamed to the
+                // client.
                 stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n").await?;
                 loop {
                     stream.write_all(b"x").await?;
-                    sleep(TRICKLE).await;
+                    sleep(ENDLESS_BYTE_INTERVAL).await;
                 }
             }
             BackendBehavior::Fail => {
-                stream.write_all(response("500 Internal Server Error", "", "").as_bytes()).await?;
+                stream.write_all(response_text("500 Internal Server Error", "", "").as_bytes()).await?;
                 return Ok(true);
             }
             BackendBehavior::Decline => {
-                let declined = response("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
+                let declined = response_text("503 Service Unavailable", "Srv-Declined: 1\r\n", "");
                 stream.write_all(declined.as_bytes()).await?;
                 return Ok(true);
             }
@@ -170,26 +171,26 @@
             | BackendBehavior::TooMuch
             | BackendBehavior::StrayAnswer => {}
         }
-        self.work(behavior).await;
-        stream.write_all(served.as_bytes()).await?;
+        self.process_request(behavior).await;
+        stream.write_all(response.as_bytes()).await?;
         if behavior == BackendBehavior::TooMuch {
             stream.write_all(b"and more than belongs to it").await?;
         }
         if behavior == BackendBehavior::StrayAnswer {
-            sleep(STRAY_DELAY).await;
-            stream.write_all(served.as_bytes()).await?;
+            sleep(STRAY_ANSWER_DELAY).await;
+            stream.write_all(response.as_bytes()).await?;
         }
         Ok(true)
     }
 
-    async fn work(&self, behavior: BackendBehavior) {
+    async fn process_request(&self, behavior: BackendBehavior) {
         let Ok(_core) = self.cores.acquire().await else { return };
-        let slowdown = if behavior == BackendBehavior::Slow { SLOWDOWN } else { 1 };
+        let slowdown = if behavior == BackendBehavior::Slow { SLOWDOWN_FACTOR } else { 1 };
         let capacity = self.capacity_fraction();
         sleep((self.service_time * slowdown).div_f64(capacity)).await;
     }
 
-    /// Share of its capacity that it has warmed up to.
+    /// Returns the fraction of its capacity that the backend has warmed up to.
     fn capacity_fraction(&self) -> f64 {
         let Some(started_at) = self.with_state(|state| state.started_at) else { return 1.0 };
         let age = self.recorder.now().saturating_sub(started_at).as_secs_f64();
@@ -197,19 +198,20 @@
         self.initial_capacity + (1.0 - self.initial_capacity) * progress
     }
 
-    fn record(&self, request: &ReceivedRequest, effect: AttemptEffect) {
+    fn record_attempt(&self, request: &ReceivedRequest, effect: AttemptEffect) {
         let attempt = AttemptRecord {
             request: request.id,
             backend: self.name.clone(),
             first_byte_at: request.first_byte_at,
             complete_at: self.recorder.now(),
-            told_deadline: request.told_deadline,
+            sent_deadline: request.sent_deadline,
             effect,
         };
         self.recorder.records().attempts.push(attempt);
     }
 
-    /// Reads a request; none if the connection ends before its last byte.
+    /// Reads a request. Returns `None` if the connection ends before the last byte or the request is too
+    /// long.
     async fn read_request(&self, stream: &mut TcpStream) -> io::Result<Option<ReceivedRequest>> {
         let mut bytes = Vec::new();
         let mut first_byte_at = None;
@@ -225,10 +227,10 @@
     }
 }
 
-/// A request that has come completely.
+/// A request that was received completely.
 struct ReceivedRequest {
     id: RequestId,
-    told_deadline: Option<Duration>,
+    sent_deadline: Option<Duration>,
     first_byte_at: Duration,
 }
 
@@ -247,18 +249,18 @@
         let deadline = header("req-deadline-ms").and_then(|text| text.parse().ok());
         Some(ReceivedRequest {
             id: header("req-id").and_then(|id| RequestId::from_str_radix(id, 16).ok()).unwrap_or_default(),
-            told_deadline: deadline.map(Duration::from_millis),
+            sent_deadline: deadline.map(Duration::from_millis),
             first_byte_at,
         })
     }
 
-    /// The body of its answer, by which its client knows it.
+    /// Returns the body of the response, by which the client recognizes the response to its request.
     fn body(&self) -> String {
         format!("{:016x}", self.id)
     }
 }
 
-fn response(status: &str, headers: &str, body: &str) -> String {
+fn response_text(status: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {length}\r\n\r\n{body}")
 }
--- a/crates/scale-test/src/soak/process.rs
+++ b/crates/scale-test/src/soak/process.rs
@@ -1,6 +1,6 @@
-//! Processes of the real program: start, signals, log, admin API, what they hold.
+//! Processes of the real proxy program: their start, signals, log, admin API and resource usage.
 
-use super::plan::{SoakSettings, play_address};
+use super::plan::{SoakSettings, run_address};
 use super::record::{AdminCall, ProcessRecord, Recorder, ReloadRecord, UsageSample};
 use anyhow::{Context, anyhow};
 use rustix::process::{Pid, Signal, kill_process};
@@ -17,20 +17,20 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Pause between two looks at what processes hold.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// An admin call that takes longer is given up.
+/// Pause between two samples of the processes' resource usage.
+const USAGE_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a call to the admin API.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause between two questions whether a process is ready.
-const READY_INTERVAL: Duration = Duration::from_millis(10);
+/// Pause between two readiness checks of a process.
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What all processes of the proxy share.
+/// The instance of the proxy, whose processes share an address, a directory and the settings.
 pub struct ProxyInstance {
-    /// The program.
+    /// The path of the proxy program.
     pub program: PathBuf,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub address: SocketAddr,
-    folder: PathBuf,
+    directory: PathBuf,
     seed: u64,
     config_version: AtomicU64,
     settings: SoakSettings,
@@ -38,22 +38,22 @@
     recorder: Recorder,
 }
 
-/// A process of the proxy.
+/// A process of the proxy instance.
 pub struct ProxyProcess {
     number: usize,
     pid: Pid,
     admin: SocketAddr,
     config_path: PathBuf,
-    has_ended: watch::Receiver<bool>,
-    /// Asks for a kill.
-    kill: Arc<tokio::sync::Notify>,
+    has_exited: watch::Receiver<bool>,
+    /// Requests a SIGKILL.
+    kill_request: Arc<tokio::sync::Notify>,
 }
 
 impl ProxyInstance {
-    /// An instance without a process, at a port that is free.
+    /// Creates an instance without processes on a free port.
     pub async fn new(
         program: &Path,
-        folder: &Path,
+        directory: &Path,
         seed: u64,
         settings: SoakSettings,
         discovery: [SocketAddr; 2],
@@ -63,7 +63,7 @@
         Ok(Arc::new(ProxyInstance {
             program: program.to_path_buf(),
             address,
-            folder: folder.to_path_buf(),
+            directory: directory.to_path_buf(),
             seed,
             config_version: AtomicU64::new(0),
             settings,
@@ -72,7 +72,8 @@
         }))
     }
 
-    /// A further configuration, which names discovery's other address.
+    /// Returns a configuration with the next version. The versions alternate between discovery's two
+    /// addresses.
     fn next_config(&self, admin: SocketAddr) -> Value {
         let version = self.config_version.fetch_add(1, Relaxed) + 1;
         let discovery = self.discovery[version as usize % self.discovery.len()];
@@ -83,11 +84,11 @@
                "settings": self.settings.to_json()})
     }
 
-    /// Starts a process. It may still have to become ready.
+    /// Starts a process, without waiting until it is ready.
     pub async fn start(self: &Arc<Self>) -> anyhow::Result<ProxyProcess> {
         let admin = free_address(self.seed).await?;
         let number = self.recorder.records().processes.len();
-        let config_path = self.folder.join(format!("config-{number}.json"));
+        let config_path = self.directory.join(format!("config-{number}.json"));
         std::fs::write(&config_path, self.next_config(admin).to_string())?;
         let limit = self.settings.max_descriptors;
         let mut child = Command::new("/bin/sh")
@@ -99,26 +100,26 @@
             .env_remove("RELAY_MANAGEMENT")
             .env_remove("RELAY_DISCOVERY")
             .env("RELAY_CONFIG", &config_path)
-            .env("TMPDIR", &self.folder)
+            .env("TMPDIR", &self.directory)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("{}: does not start", self.program.display()))?;
+            .with_context(|| format!("{}: failed to start", self.program.display()))?;
         let record = ProcessRecord { started_at: self.recorder.now(), ..ProcessRecord::default() };
         self.recorder.records().processes.push(record);
-        let id = child.id().ok_or_else(|| anyhow!("ended at once"))?;
-        let pid = Pid::from_raw(i32::try_from(id)?).ok_or_else(|| anyhow!("no process id"))?;
-        let log = child.stderr.take().ok_or_else(|| anyhow!("no log"))?;
+        let id = child.id().ok_or_else(|| anyhow!("the process exited immediately"))?;
+        let pid = Pid::from_raw(i32::try_from(id)?).ok_or_else(|| anyhow!("the process id is 0"))?;
+        let log = child.stderr.take().ok_or_else(|| anyhow!("the process has no stderr pipe"))?;
         tokio::spawn(read_log(self.recorder.clone(), number, log));
-        let (ended, has_ended) = watch::channel(false);
-        let kill = Arc::new(tokio::sync::Notify::new());
-        tokio::spawn(follow_end(self.recorder.clone(), number, child, kill.clone(), ended));
-        Ok(ProxyProcess { number, pid, admin, config_path, has_ended, kill })
+        let (exit_sender, has_exited) = watch::channel(false);
+        let kill_request = Arc::new(tokio::sync::Notify::new());
+        tokio::spawn(record_exit(self.recorder.clone(), number, child, kill_request.clone(), exit_sender));
+        Ok(ProxyProcess { number, pid, admin, config_path, has_exited, kill_request })
     }
 
-    /// Replaces a process's configuration and sends it SIGHUP.
+    /// Replaces the configuration file of a process and sends it SIGHUP.
     pub async fn reload(&self, process: &ProxyProcess) -> anyhow::Result<()> {
         let path = process.config_path.with_extension("new");
         std::fs::write(&path, self.next_config(process.admin).to_string())?;
@@ -127,7 +128,8 @@
         Ok(())
     }
 
-    /// The same with a file that is half written when the signal comes, and whole so long after.
+    /// Reloads like `reload`, but the file is half written when SIGHUP is sent and complete after
+    /// `whole_after`.
     pub async fn reload_torn(&self, process: &ProxyProcess, whole_after: Duration) -> anyhow::Result<()> {
         let text = self.next_config(process.admin).to_string();
         std::fs::write(&process.config_path, &text[..text.len() / 2])?;
@@ -144,10 +146,10 @@
         process.signal(Signal::HUP);
     }
 
-    /// Calls the admin API of a process; whether it said yes.
+    /// Calls the admin API of a process. Returns whether it answered with a 2xx status.
     pub async fn call_admin(&self, process: &ProxyProcess, method: &str, path: &str) -> bool {
         let at = self.recorder.now();
-        let status = timeout(ADMIN_TIMEOUT, admin_status(process.admin, method, path)).await;
+        let status = timeout(ADMIN_TIMEOUT, request_admin_status(process.admin, method, path)).await;
         let status = status.ok().and_then(Result::ok);
         let took = status.map(|_| self.recorder.now() - at);
         let call = AdminCall { path: path.to_string(), at, took };
@@ -157,85 +159,86 @@
         status.is_some_and(|status| (200..300).contains(&status))
     }
 
-    /// Waits until a process is ready, or has ended.
+    /// Waits until a process is ready or has exited.
     pub async fn wait_until_ready(&self, process: &ProxyProcess) {
         while process.is_running() {
-            let status = admin_status(process.admin, "GET", "/v1/readyz").await;
+            let status = request_admin_status(process.admin, "GET", "/v1/readyz").await;
             if status.is_ok_and(|status| status == 200) {
                 let ready_at = self.recorder.now();
                 self.recorder.records().processes[process.number].ready_at.get_or_insert(ready_at);
                 return;
             }
-            sleep(READY_INTERVAL).await;
+            sleep(READINESS_CHECK_INTERVAL).await;
         }
     }
 
-    /// Tells a process to end.
+    /// Sends SIGTERM to a process.
     pub fn terminate(&self, process: &ProxyProcess) {
         let at = self.recorder.now();
         self.recorder.records().processes[process.number].terminated_at.get_or_insert(at);
         process.signal(Signal::TERM);
     }
 
-    /// Waits until a process that was told to end has done so; at the earliest time of a kill it is killed.
-    pub async fn wait_for_end(&self, process: &mut ProxyProcess) {
+    /// Waits until a process has exited after SIGTERM, and kills it if it has not when SIGKILL is due.
+    pub async fn wait_for_exit(&self, process: &mut ProxyProcess) {
         let terminated_at = self.recorder.records().processes[process.number].terminated_at;
         let kill_at = terminated_at.unwrap_or_default() + self.settings.kill_after();
-        let left = kill_at.saturating_sub(self.recorder.now());
-        let ended = timeout(left, process.has_ended.wait_for(|has_ended| *has_ended)).await.is_ok();
-        if !ended {
+        let remaining = kill_at.saturating_sub(self.recorder.now());
+        let exited = timeout(remaining, process.has_exited.wait_for(|has_exited| *has_exited)).await.is_ok();
+        if !exited {
             self.recorder.records().processes[process.number].was_killed = true;
-            process.kill.notify_one();
-            // Killed, it ends whatever it does.
-            let _ = process.has_ended.wait_for(|has_ended| *has_ended).await;
+            process.kill_request.notify_one();
+            // A process can't outlive SIGKILL, so the wait needs no timeout.
+            let _ = process.has_exited.wait_for(|has_exited| *has_exited).await;
         }
     }
 
-    /// Looks all the time at what the processes hold together.
-    pub async fn watch_usage(self: Arc<Self>, pids: Arc<std::sync::Mutex<Vec<Pid>>>) {
+    /// Samples the descriptors and memory of all processes together until the task is aborted.
+    pub async fn sample_usage(self: Arc<Self>, pids: Arc<std::sync::Mutex<Vec<Pid>>>) {
         loop {
             let at = self.recorder.now();
             let pids = pids.lock().map(|pids| pids.clone()).unwrap_or_default();
-            let usages: Vec<Usage> = pids.into_iter().filter_map(Usage::of).collect();
+            let usages: Vec<Usage> = pids.into_iter().filter_map(Usage::read).collect();
             let descriptors = usages.iter().map(|usage| usage.descriptors).sum();
             let memory = usages.iter().map(|usage| usage.memory).sum();
             self.recorder.records().usage.push(UsageSample { at, descriptors, memory });
-            sleep(LOOK_INTERVAL).await;
-            let late = self.recorder.now().saturating_sub(at + LOOK_INTERVAL);
+            sleep(USAGE_SAMPLE_INTERVAL).await;
+            let lateness = self.recorder.now().saturating_sub(at + USAGE_SAMPLE_INTERVAL);
             let mut records = self.recorder.records();
-            records.own_lateness = records.own_lateness.max(late);
+            records.own_lateness = records.own_lateness.max(lateness);
         }
     }
 }
 
 impl ProxyProcess {
-    /// Its process id.
+    /// Returns the process id.
     pub fn pid(&self) -> Pid {
         self.pid
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the process has not exited.
     pub fn is_running(&self) -> bool {
-        !*self.has_ended.borrow()
+        !*self.has_exited.borrow()
     }
 
     fn signal(&self, signal: Signal) {
         if self.is_running() {
-            // One that ends just now needs no signal.
+            // Sending fails if the process has exited in the meantime.
             let _ = kill_process(self.pid, signal);
         }
     }
 }
 
-/// What a process holds.
+/// The resource usage of a process.
 struct Usage {
     descriptors: usize,
     memory: u64,
 }
 
 impl Usage {
-    /// None if the process has ended, or is still the shell that starts the program.
-    fn of(pid: Pid) -> Option<Self> {
+    /// Reads the usage of a process. Returns `None` if the process has exited. Before the shell that starts
+    /// the program has replaced itself by it, the values are the shell's.
+    fn read(pid: Pid) -> Option<Self> {
         let process = procfs::process::Process::new(pid.as_raw_nonzero().get()).ok()?;
         let descriptors = process.fd_count().ok()?;
         let memory = process.stat().ok()?.rss * procfs::page_size();
@@ -244,7 +247,7 @@
 }
 
 async fn free_address(seed: u64) -> anyhow::Result<SocketAddr> {
-    Ok(TcpListener::bind((play_address(seed), 0)).await?.local_addr()?)
+    Ok(TcpListener::bind((run_address(seed), 0)).await?.local_addr()?)
 }
 
 async fn read_log(recorder: Recorder, number: usize, log: ChildStderr) {
@@ -255,17 +258,17 @@
     }
 }
 
-async fn follow_end(
+async fn record_exit(
     recorder: Recorder,
     number: usize,
     mut child: Child,
-    kill: Arc<tokio::sync::Notify>,
-    ended: watch::Sender<bool>,
+    kill_request: Arc<tokio::sync::Notify>,
+    exit_sender: watch::Sender<bool>,
 ) {
     let status = tokio::select! {
         status = child.wait() => status,
-        () = kill.notified() => {
-            // One that has ended needs no kill.
+        () = kill_request.notified() => {
+            // The kill fails only if the process has exited.
             let _ = child.start_kill();
             child.wait().await
         }
@@ -277,16 +280,16 @@
         process.ended_at = Some(at);
         process.is_success = status.is_ok_and(|status| status.success());
     }
-    ended.send_replace(true);
+    exit_sender.send_replace(true);
 }
 
-async fn admin_status(address: SocketAddr, method: &str, path: &str) -> anyhow::Result<u16> {
+async fn request_admin_status(address: SocketAddr, method: &str, path: &str) -> anyhow::Result<u16> {
     let mut stream = TcpStream::connect(address).await?;
     let call =
         format!("{method} {path} HTTP/1.1\r\nHost: admin\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
     stream.write_all(call.as_bytes()).await?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await?;
-    let text = String::from_utf8_lossy(&answer);
-    Ok(text.split(' ').nth(1).ok_or_else(|| anyhow!("no status"))?.parse()?)
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).await?;
+    let text = String::from_utf8_lossy(&response);
+    Ok(text.split(' ').nth(1).ok_or_else(|| anyhow!("the admin API's response has no status"))?.parse()?)
 }
