--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -238,7 +238,7 @@
         proxy_program,
         program: std::env::current_exe().context("this program's own path")?,
         with_simulated,
-        time: Duration::from_secs_f64(scenario.limits.run_s),
+        run_timeout: Duration::from_secs_f64(scenario.limits.run_s),
     };
     let machine = Machine {
         cores: std::thread::available_parallelism().map_or(1, usize::from),
--- a/crates/scale-test/src/real/backends.rs
+++ b/crates/scale-test/src/real/backends.rs
@@ -22,9 +22,9 @@
 use tokio::time::{Instant, sleep};
 
 /// Connections that the system keeps waiting to be accepted.
-const QUEUE: u32 = 1024;
+const ACCEPT_QUEUE_LENGTH: u32 = 1024;
 /// So much of the time that is left is kept from the next hop, for the way back.
-const MARGIN: Duration = Duration::from_millis(1);
+const NEXT_HOP_MARGIN: Duration = Duration::from_millis(1);
 
 /// What a backend does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -34,23 +34,23 @@
     /// Keeps connections open and says nothing; new ones never come up.
     Unresponsive,
     /// Its process is gone: connections are reset, new ones refused.
-    Gone,
+    Stopped,
 }
 
 /// What all of them have in common.
-pub struct Work {
+pub struct BackendConfig {
     /// Time that a warm one works on a call.
-    pub warm: Duration,
+    pub warm_service_time: Duration,
     /// Time that one works at its start, which falls to that of a warm one.
-    pub cold: Duration,
+    pub cold_service_time: Duration,
     /// How long that takes.
-    pub cold_for: Duration,
+    pub warm_up: Duration,
     /// A draining one may be sent to for so long after the change.
     pub drain_deadline: Duration,
 }
 
 /// Where calls go on to.
-pub struct Next {
+pub struct NextHops {
     /// Through proxies.
     pub proxies: Vec<SocketAddr>,
     /// Straight to backends.
@@ -72,11 +72,11 @@
 }
 
 struct Common {
-    work: Work,
+    config: BackendConfig,
     counts: Counts,
     client: Client,
-    next: OnceLock<Next>,
-    turn: AtomicU64,
+    next_hops: OnceLock<NextHops>,
+    next_hop_index: AtomicU64,
 }
 
 /// One of them.
@@ -84,13 +84,13 @@
     /// Where it listens.
     pub address: SocketAddr,
     mode: watch::Sender<Mode>,
-    since: Mutex<Since>,
+    timestamps: Mutex<Timestamps>,
 }
 
 #[derive(Default)]
-struct Since {
-    started: Option<Instant>,
-    draining: Option<Instant>,
+struct Timestamps {
+    started_at: Option<Instant>,
+    draining_since: Option<Instant>,
 }
 
 /// All of them; they end when it is dropped.
@@ -107,22 +107,22 @@
     /// # Errors
     ///
     /// If an address can't be listened on.
-    pub fn start(count: usize, work: Work) -> io::Result<Self> {
+    pub fn start(count: usize, config: BackendConfig) -> io::Result<Self> {
         let common = Common {
-            work,
+            config,
             counts: Counts::default(),
             client: Client::new(1 << 48),
-            next: OnceLock::new(),
-            turn: AtomicU64::new(0),
+            next_hops: OnceLock::new(),
+            next_hop_index: AtomicU64::new(0),
         };
         let (common, mut tasks) = (Arc::new(common), JoinSet::new());
         let mut all = Vec::new();
         for number in 0..count {
-            let listener = listen((loopback(3, number), 0).into(), QUEUE)?;
+            let listener = listen((loopback(3, number), 0).into(), ACCEPT_QUEUE_LENGTH)?;
             let backend = Arc::new(Backend {
                 address: listener.local_addr()?,
                 mode: watch::Sender::new(Mode::Serving),
-                since: Mutex::default(),
+                timestamps: Mutex::default(),
             });
             tasks.spawn(backend.clone().run(listener, common.clone()));
             all.push(backend);
@@ -131,9 +131,9 @@
     }
 
     /// Tells them where calls go on to; holds from the first time on.
-    pub fn connect(&self, next: Next) {
+    pub fn set_next_hops(&self, next_hops: NextHops) {
         // A second time changes nothing, as said.
-        let _ = self.common.next.set(next);
+        let _ = self.common.next_hops.set(next_hops);
     }
 
     /// What has come.
@@ -161,67 +161,67 @@
     /// If another client has the place, the task waits in vain and is ended with the rest.
     Blocked {
         _listener: TcpListener,
-        _filler: JoinSet<()>,
+        _connection: JoinSet<()>,
     },
-    Shut,
+    Closed,
 }
 
 impl ListenerState {
     /// The state for a mode. One whose address can't be had is shut, which the log says. A process that is just being
     /// started holds all that this one had open for a moment, an old listener too: that is waited out.
-    async fn of(mode: Mode, address: SocketAddr) -> Self {
-        let mut listener_state = ListenerState::at_once(mode, address);
+    async fn for_mode(mode: Mode, address: SocketAddr) -> Self {
+        let mut listener_state = ListenerState::try_for_mode(mode, address);
         for _ in 0..BIND_RETRIES {
             if !listener_state.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::AddrInUse) {
                 break;
             }
             sleep(Duration::from_millis(10)).await;
-            listener_state = ListenerState::at_once(mode, address);
+            listener_state = ListenerState::try_for_mode(mode, address);
         }
         listener_state.unwrap_or_else(|e| {
             tracing::warn!("{address}: {e}");
-            ListenerState::Shut
+            ListenerState::Closed
         })
     }
 
-    fn at_once(mode: Mode, address: SocketAddr) -> io::Result<Self> {
+    fn try_for_mode(mode: Mode, address: SocketAddr) -> io::Result<Self> {
         match mode {
-            Mode::Serving => listen(address, QUEUE).map(ListenerState::Open),
+            Mode::Serving => listen(address, ACCEPT_QUEUE_LENGTH).map(ListenerState::Open),
             Mode::Unresponsive => listen(address, 0).map(|listener| {
-                let mut filler = JoinSet::new();
-                filler.spawn(async move {
+                let mut connection = JoinSet::new();
+                connection.spawn(async move {
                     let _held = TcpStream::connect(address).await;
                     std::future::pending().await
                 });
-                ListenerState::Blocked { _listener: listener, _filler: filler }
+                ListenerState::Blocked { _listener: listener, _connection: connection }
             }),
-            Mode::Gone => Ok(ListenerState::Shut),
+            Mode::Stopped => Ok(ListenerState::Closed),
         }
     }
 
     async fn accept(&self) -> io::Result<TcpStream> {
         match self {
             ListenerState::Open(listener) => listener.accept().await.map(|(stream, _)| stream),
-            ListenerState::Blocked { .. } | ListenerState::Shut => std::future::pending().await,
+            ListenerState::Blocked { .. } | ListenerState::Closed => std::future::pending().await,
         }
     }
 }
 
 impl Backend {
     /// Changes what it does.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
     /// It is a new process from now on: cold.
     pub fn restart(&self) {
-        let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
-        *since = Since { started: Some(Instant::now()), draining: None };
+        let mut timestamps = self.timestamps.lock().unwrap_or_else(PoisonError::into_inner);
+        *timestamps = Timestamps { started_at: Some(Instant::now()), draining_since: None };
     }
 
     /// The list says from now on that it drains.
     pub fn drain(&self) {
-        self.since.lock().unwrap_or_else(PoisonError::into_inner).draining = Some(Instant::now());
+        self.timestamps.lock().unwrap_or_else(PoisonError::into_inner).draining_since = Some(Instant::now());
     }
 
     async fn run(self: Arc<Self>, listener: TcpListener, common: Arc<Common>) {
@@ -233,9 +233,9 @@
                         return;
                     }
                     // The old one has to let go of the address first.
-                    drop(std::mem::replace(&mut listener_state, ListenerState::Shut));
+                    drop(std::mem::replace(&mut listener_state, ListenerState::Closed));
                     let mode = *mode.borrow_and_update();
-                    listener_state = ListenerState::of(mode, self.address).await;
+                    listener_state = ListenerState::for_mode(mode, self.address).await;
                 }
                 accepted = listener_state.accept() => match accepted {
                     Ok(stream) => {
@@ -258,7 +258,7 @@
         tokio::select! {
             // Its client has gone, as clients may.
             _ = connection => {}
-            _ = mode.wait_for(|mode| *mode == Mode::Gone) => {}
+            _ = mode.wait_for(|mode| *mode == Mode::Stopped) => {}
         }
     }
 
@@ -269,14 +269,15 @@
         let query = Query::parse(head.uri.query().unwrap_or_default());
         if !query.direct {
             common.counts.calls.fetch_add(1, Relaxed);
-            let draining = self.since.lock().unwrap_or_else(PoisonError::into_inner).draining;
-            if draining.is_some_and(|since| since.elapsed() > common.work.drain_deadline) {
+            let draining_since =
+                self.timestamps.lock().unwrap_or_else(PoisonError::into_inner).draining_since;
+            if draining_since.is_some_and(|since| since.elapsed() > common.config.drain_deadline) {
                 common.counts.late_to_draining.fetch_add(1, Relaxed);
             }
         }
-        let work = self.work(&common.work);
-        if !work.is_zero() {
-            sleep(work).await;
+        let service_time = self.service_time(&common.config);
+        if !service_time.is_zero() {
+            sleep(service_time).await;
         }
         let status = match query.hops {
             0 => StatusCode::OK,
@@ -294,12 +295,13 @@
     }
 
     /// How long it works on a call now.
-    fn work(&self, work: &Work) -> Duration {
-        let since = self.since.lock().unwrap_or_else(PoisonError::into_inner).started;
-        let age = since.map_or(1.0, |since| {
-            since.elapsed().as_secs_f64() / work.cold_for.as_secs_f64().max(f64::MIN_POSITIVE)
+    fn service_time(&self, config: &BackendConfig) -> Duration {
+        let started_at = self.timestamps.lock().unwrap_or_else(PoisonError::into_inner).started_at;
+        let age = started_at.map_or(1.0, |started_at| {
+            started_at.elapsed().as_secs_f64() / config.warm_up.as_secs_f64().max(f64::MIN_POSITIVE)
         });
-        work.warm + work.cold.saturating_sub(work.warm).mul_f64((1.0 - age).max(0.0))
+        config.warm_service_time
+            + config.cold_service_time.saturating_sub(config.warm_service_time).mul_f64((1.0 - age).max(0.0))
     }
 
     /// The next hop's answer decides this one's.
@@ -312,20 +314,23 @@
         received: Instant,
         common: &Common,
     ) -> StatusCode {
-        let Some(next) = common.next.get() else { return StatusCode::INTERNAL_SERVER_ERROR };
-        let to = if query.direct { &next.backends } else { &next.proxies };
-        let turn = common.turn.fetch_add(1, Relaxed) as usize;
-        let Some(&to) = to.get(turn % to.len().max(1)) else { return StatusCode::INTERNAL_SERVER_ERROR };
-        let told = headers.get("req-deadline-ms").and_then(|value| value.to_str().ok()?.parse().ok());
-        let left = Duration::from_millis(told.unwrap_or(0)).saturating_sub(received.elapsed() + MARGIN);
+        let Some(next_hops) = common.next_hops.get() else { return StatusCode::INTERNAL_SERVER_ERROR };
+        let addresses = if query.direct { &next_hops.backends } else { &next_hops.proxies };
+        let index = common.next_hop_index.fetch_add(1, Relaxed) as usize;
+        let Some(&address) = addresses.get(index % addresses.len().max(1)) else {
+            return StatusCode::INTERNAL_SERVER_ERROR;
+        };
+        let deadline_ms = headers.get("req-deadline-ms").and_then(|value| value.to_str().ok()?.parse().ok());
+        let remaining = Duration::from_millis(deadline_ms.unwrap_or(0))
+            .saturating_sub(received.elapsed() + NEXT_HOP_MARGIN);
         let call = Call {
             class: path.trim_start_matches('/').to_string(),
             method: method.clone(),
-            keyed: headers.contains_key("idempotency-key"),
+            has_idempotency_key: headers.contains_key("idempotency-key"),
             query: Query { hops: query.hops - 1, direct: query.direct }.text(),
-            time_limit: left,
+            time_limit: remaining,
         };
-        match common.client.call(to, &call).await {
+        match common.client.call(address, &call).await {
             Answer::Served => StatusCode::OK,
             _ => StatusCode::INTERNAL_SERVER_ERROR,
         }
@@ -344,14 +349,14 @@
 impl Query {
     /// As it stands in a request; what can't be read counts as not there.
     pub fn parse(text: &str) -> Self {
-        let figure = |name: &str| {
+        let number = |name: &str| {
             let mut pairs = text.split('&').filter_map(|pair| pair.split_once('='));
             pairs
                 .find(|(key, _)| *key == name)
                 .and_then(|(_, value)| value.parse::<usize>().ok())
                 .unwrap_or(0)
         };
-        Query { hops: figure("hops"), direct: figure("direct") != 0 }
+        Query { hops: number("hops"), direct: number("direct") != 0 }
     }
 
     /// The text.
--- a/crates/scale-test/src/real/children.rs
+++ b/crates/scale-test/src/real/children.rs
@@ -15,7 +15,7 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A real proxy.
-pub struct Proxy {
+pub struct ProxyProcess {
     child: Child,
     /// Its process.
     pub pid: u32,
@@ -26,7 +26,7 @@
 }
 
 /// A process of simulated proxies.
-pub struct Host {
+pub struct SimulatedHost {
     child: Child,
     /// Its process.
     pub pid: u32,
@@ -40,9 +40,9 @@
 #[derive(Default)]
 pub struct Children {
     /// Real proxies.
-    pub proxies: Vec<Proxy>,
+    pub proxies: Vec<ProxyProcess>,
     /// Processes of simulated ones.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<SimulatedHost>,
 }
 
 impl Children {
@@ -74,13 +74,13 @@
         tracing::info!("process {pid}: real proxy {name}");
         let log = child.stderr.take().ok_or_else(|| anyhow!("{name}: has no log"))?;
         let mut log = BufReader::new(log).lines();
-        let mut said = String::new();
+        let mut last_line = String::new();
         let address = timeout(RESPONSE_TIMEOUT, async {
             while let Some(line) = log.next_line().await? {
                 if let Some((_, address)) = line.split_once("listening on ") {
                     return Ok(Some(address.parse()?));
                 }
-                said = line;
+                last_line = line;
             }
             anyhow::Ok(None)
         });
@@ -92,10 +92,10 @@
                 let _ = child.kill().await;
                 return Err(other
                     .err()
-                    .unwrap_or_else(|| anyhow!("{name}: ended before it listened: {said}")));
+                    .unwrap_or_else(|| anyhow!("{name}: ended before it listened: {last_line}")));
             }
         };
-        self.proxies.push(Proxy { child, pid, address, _log: log });
+        self.proxies.push(ProxyProcess { child, pid, address, _log: log });
         Ok(())
     }
 
@@ -116,7 +116,7 @@
         let Some((pid, (input, output))) = pid.zip(pipes) else { bail!("simulated proxies: ended at once") };
         tracing::info!("process {pid}: {} simulated proxies", config.proxies.len());
         let output = BufReader::new(output).lines();
-        self.hosts.push(Host { child, pid, proxy_count: config.proxies.len(), input, output });
+        self.hosts.push(SimulatedHost { child, pid, proxy_count: config.proxies.len(), input, output });
         let Some(host) = self.hosts.last_mut() else { unreachable!("it was pushed") };
         let mut line = serde_json::to_vec(config)?;
         line.push(b'\n');
@@ -129,19 +129,19 @@
     /// # Errors
     ///
     /// If one of their processes has ended or does not answer in time.
-    pub async fn activity(&mut self) -> anyhow::Result<Activity> {
+    pub async fn take_activity(&mut self) -> anyhow::Result<Activity> {
         for host in &mut self.hosts {
             host.input.write_all(b"\n").await.context("simulated proxies: ended early")?;
         }
-        let mut sum = Activity::default();
+        let mut total = Activity::default();
         for host in &mut self.hosts {
             let line = timeout(RESPONSE_TIMEOUT, host.output.next_line())
                 .await
                 .context("simulated proxies: unresponsive")??;
             let line = line.ok_or_else(|| anyhow!("simulated proxies: ended early"))?;
-            sum = sum.plus(serde_json::from_str(&line)?);
+            total = total.plus(serde_json::from_str(&line)?);
         }
-        Ok(sum)
+        Ok(total)
     }
 
     /// Ends them all and waits until they are gone.
--- a/crates/scale-test/src/real/client.rs
+++ b/crates/scale-test/src/real/client.rs
@@ -22,7 +22,7 @@
     /// Served.
     Served,
     /// Rejected; a retry is harmless.
-    Refused,
+    Rejected,
     /// Failed.
     Failed,
     /// No complete answer in time.
@@ -37,7 +37,7 @@
     /// Whether it may be repeated without a key.
     pub method: hyper::Method,
     /// The key by which repeats are dropped, where its class has one.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
     /// What the backends are told, as a query.
     pub query: String,
     /// Its time.
@@ -50,13 +50,13 @@
 #[derive(Default)]
 pub struct Client {
     idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
-    ids: AtomicU64,
+    next_id: AtomicU64,
 }
 
 impl Client {
     /// Ids begin at a number, so that those of several clients differ.
-    pub fn new(first: u64) -> Self {
-        Client { ids: AtomicU64::new(first), ..Client::default() }
+    pub fn new(first_id: u64) -> Self {
+        Client { next_id: AtomicU64::new(first_id), ..Client::default() }
     }
 
     /// Makes a call and waits for its answer.
@@ -73,7 +73,7 @@
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn kept(&self, address: SocketAddr) -> Option<Connection> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle();
         let connections = idle.get_mut(&address)?;
         connections.retain(|connection| !connection.is_closed());
@@ -81,8 +81,8 @@
     }
 
     async fn attempt(&self, address: SocketAddr, call: &Call) -> Answer {
-        let id = self.ids.fetch_add(1, Relaxed);
-        while let Some(connection) = self.kept(address) {
+        let id = self.next_id.fetch_add(1, Relaxed);
+        while let Some(connection) = self.take_idle(address) {
             // One that the other side closed between requests, which it may: the request was not read.
             if let Ok(answer) = self.send(connection, address, call, id).await {
                 return answer;
@@ -107,15 +107,19 @@
             .header("req-id", format!("{id:016x}"))
             .header("req-owner", TENANT)
             .header("req-deadline-ms", call.time_limit.as_millis().to_string());
-        let request = if call.keyed { request.header("idempotency-key", format!("{id:x}")) } else { request };
+        let request = if call.has_idempotency_key {
+            request.header("idempotency-key", format!("{id:x}"))
+        } else {
+            request
+        };
         let Ok(request) = request.body(Full::default()) else { return Ok(Answer::Failed) };
-        let reply = match connection.send_request(request).await {
-            Ok(reply) => reply,
+        let response = match connection.send_request(request).await {
+            Ok(response) => response,
             Err(e) if e.is_canceled() || e.is_incomplete_message() => return Err(e),
             Err(_) => return Ok(Answer::Failed),
         };
-        let status = reply.status();
-        if reply.into_body().collect().await.is_err() {
+        let status = response.status();
+        if response.into_body().collect().await.is_err() {
             return Ok(Answer::Failed);
         }
         if connection.ready().await.is_ok() {
@@ -123,7 +127,7 @@
         }
         Ok(match status {
             StatusCode::OK => Answer::Served,
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Answer::Refused,
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => Answer::Rejected,
             _ => Answer::Failed,
         })
     }
--- a/crates/scale-test/src/real/counted.rs
+++ b/crates/scale-test/src/real/counted.rs
@@ -11,9 +11,9 @@
 /// What went over many connections.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    read: AtomicU64,
-    written: AtomicU64,
-    calls: AtomicU64,
+    bytes_read: AtomicU64,
+    bytes_written: AtomicU64,
+    answered_calls: AtomicU64,
 }
 
 /// The same at one instant.
@@ -27,33 +27,33 @@
 
 impl Traffic {
     /// A call was answered.
-    pub fn answered(&self) {
-        self.calls.fetch_add(1, Relaxed);
+    pub fn record_answer(&self) {
+        self.answered_calls.fetch_add(1, Relaxed);
     }
 
     /// All so far.
     pub fn volume(&self) -> Volume {
         Volume {
-            bytes: self.read.load(Relaxed) + self.written.load(Relaxed),
-            messages: 2 * self.calls.load(Relaxed),
+            bytes: self.bytes_read.load(Relaxed) + self.bytes_written.load(Relaxed),
+            messages: 2 * self.answered_calls.load(Relaxed),
         }
     }
 }
 
 /// The connection.
-pub struct Counted {
+pub struct CountedStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
 }
 
-impl Counted {
+impl CountedStream {
     /// Counts into `traffic` from now on.
     pub fn new(stream: TcpStream, traffic: Arc<Traffic>) -> Self {
-        Counted { stream, traffic }
+        CountedStream { stream, traffic }
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -61,15 +61,15 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buffer))?;
-        self.traffic.read.fetch_add((buffer.filled().len() - before) as u64, Relaxed);
+        self.traffic.bytes_read.fetch_add((buffer.filled().len() - before) as u64, Relaxed);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write(cx, bytes))?;
-        self.traffic.written.fetch_add(written as u64, Relaxed);
+        self.traffic.bytes_written.fetch_add(written as u64, Relaxed);
         Poll::Ready(Ok(written))
     }
 
@@ -79,7 +79,7 @@
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(cx, parts))?;
-        self.traffic.written.fetch_add(written as u64, Relaxed);
+        self.traffic.bytes_written.fetch_add(written as u64, Relaxed);
         Poll::Ready(Ok(written))
     }
 
--- a/crates/scale-test/src/real/fleet.rs
+++ b/crates/scale-test/src/real/fleet.rs
@@ -1,11 +1,11 @@
 //! One size of the run: the fleet is started, measured phase by phase, and ended.
 
-use super::backends::{Backends, Mode, Next, Work};
+use super::backends::{BackendConfig, Backends, Mode, NextHops};
 use super::children::Children;
 use super::client::{Call, Client, TENANT};
 use super::load::{Class, Load, LoadMetrics};
-use super::registry::{self, Health, Host, Registry};
-use super::requirements::{Need, PROXY_MEMORY_MB, PROXY_SOCKETS};
+use super::registry::{self, Endpoint, Health, Registry};
+use super::requirements::{PROXY_MEMORY_MB, PROXY_SOCKETS, Requirements};
 use super::simulated_proxies::{HostConfig, SimulatedProxyConfig};
 use super::usage;
 use super::{Options, histogram};
@@ -24,13 +24,13 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// All proxies hold the first list by then.
-const START: Duration = Duration::from_secs(30);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(30);
 /// The protocol page allows so much more at every time limit.
 const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
 /// Longest load before the first that is measured.
-const WARM_UP: Duration = Duration::from_secs(3);
+const MAX_WARM_UP: Duration = Duration::from_secs(3);
 /// Backends that calls straight to them go to, for each real proxy: as many as the proxy's subset at the least.
-const DIRECT_PER_PROXY: usize = 5;
+const DIRECT_BACKENDS_PER_PROXY: usize = 5;
 
 /// A fleet that runs.
 struct Fleet<'a> {
@@ -41,10 +41,10 @@
     load: Arc<Load>,
     children: &'a mut Children,
     /// Backends as the list has them, by number.
-    hosts: Vec<Host>,
+    endpoints: Vec<Endpoint>,
     rng: StdRng,
     /// Seeds of the loads, apart, so that a load is the same whatever else was drawn.
-    loads: StdRng,
+    load_rng: StdRng,
 }
 
 /// Plays a size. The processes that it starts stay in `children`, which ends them.
@@ -52,26 +52,28 @@
 /// # Errors
 ///
 /// If the fleet can't be started or a process of it ends early.
-pub async fn size(
+pub async fn run_size(
     scenario: &Scenario,
     options: &Options,
     size: usize,
     children: &mut Children,
 ) -> anyhow::Result<Size> {
-    let need = Need::of(scenario, size, options.with_simulated);
+    let need = Requirements::for_size(scenario, size, options.with_simulated);
     need.check(scenario, size)?;
     let folder = tempfile::tempdir().context("folder for temporary files")?;
     let begun = Instant::now();
     let mut fleet = Fleet::start(scenario, options, size, need, children, folder.path()).await?;
     let (registry, real) = (&fleet.registry, need.real);
-    let holding = registry.in_force(1, START).await;
+    let holding = registry.wait_until_in_force(1, FIRST_LIST_TIMEOUT).await;
     if holding < need.watches {
-        tracing::warn!("size {size}: only {holding} proxies hold the first list after {START:?}");
+        tracing::warn!(
+            "size {size}: only {holding} proxies hold the first list after {FIRST_LIST_TIMEOUT:?}"
+        );
     }
     let start_s = begun.elapsed().as_secs_f64();
-    let (whole_list_bytes, _) = (registry.whole_bytes(), registry.propagation());
-    let phases = fleet.phases().await?;
-    let resident = |pid| usage::of(pid).map(|u| u.resident as f64);
+    let (whole_list_bytes, _) = (registry.full_list_bytes(), registry.take_propagation());
+    let phases = fleet.run_phases().await?;
+    let resident = |pid| usage::of_process(pid).map(|u| u.resident_bytes as f64);
     let proxies = fleet.children.proxies.iter().map(|p| p.pid);
     let pids = proxies.chain(fleet.children.hosts.iter().map(|h| h.pid)).chain([std::process::id()]);
     let resident: f64 = pids.map(resident).sum::<anyhow::Result<f64>>()?;
@@ -99,19 +101,19 @@
 /// The settings' classes as a client sees them; queries are most of the calls.
 fn classes(scenario: &Scenario) -> Vec<Class> {
     let list = scenario.settings.get("classes").and_then(Value::as_array).cloned().unwrap_or_default();
-    let figure = |class: &Value, key: &str| class[key].as_f64().unwrap_or(0.0);
+    let number_setting = |class: &Value, key: &str| class[key].as_f64().unwrap_or(0.0);
     let class = |(place, class): (usize, &Value)| Class {
         call: Call {
             class: class["name"].as_str().unwrap_or_default().to_string(),
             method: if class["semantics"] == "retryable" { Method::GET } else { Method::POST },
-            keyed: class["semantics"] == "dedup",
+            has_idempotency_key: class["semantics"] == "dedup",
             query: String::new(),
-            time_limit: millis(figure(class, "giveUp")),
+            time_limit: millis(number_setting(class, "giveUp")),
         },
-        share: if place == 0 { 8.0 } else { 1.0 },
-        priority_weight: figure(class, "points"),
-        latency_objective: millis(figure(class, "aim")),
-        late_worth: figure(class, "lateWorth"),
+        call_share: if place == 0 { 8.0 } else { 1.0 },
+        priority_weight: number_setting(class, "points"),
+        latency_objective: millis(number_setting(class, "aim")),
+        late_worth: number_setting(class, "lateWorth"),
     };
     list.iter().enumerate().map(class).collect()
 }
@@ -121,29 +123,31 @@
         scenario: &'a Scenario,
         options: &Options,
         size: usize,
-        need: Need,
+        need: Requirements,
         children: &'a mut Children,
         folder: &std::path::Path,
     ) -> anyhow::Result<Self> {
         let (plan, zones) = (&scenario.real, scenario.target.zones);
-        let figure = |part: &str, key: &str| scenario.settings.get(part).and_then(|p| p[key].as_f64());
-        let drain_deadline_ms = figure("guarantees", "stopSendingWithin").unwrap_or(0.0);
-        let cold_for = Duration::from_secs_f64(scenario.backend.cold_s);
-        let work = Work {
-            warm: millis(plan.work_ms),
-            cold: millis(plan.cold_work_ms),
-            cold_for,
+        let number_setting =
+            |part: &str, key: &str| scenario.settings.get(part).and_then(|p| p[key].as_f64());
+        let drain_deadline_ms = number_setting("guarantees", "stopSendingWithin").unwrap_or(0.0);
+        let warm_up = Duration::from_secs_f64(scenario.backend.cold_s);
+        let config = BackendConfig {
+            warm_service_time: millis(plan.work_ms),
+            cold_service_time: millis(plan.cold_work_ms),
+            warm_up,
             drain_deadline: millis(drain_deadline_ms) + TIME_LIMIT_SLACK,
         };
-        let backends = Backends::start(size, work).context("simulated backends")?;
-        let hosts = backends.all.iter().enumerate().map(|(number, backend)| {
+        let backends = Backends::start(size, config).context("simulated backends")?;
+        let endpoints = backends.all.iter().enumerate().map(|(number, backend)| {
             let (zone, cell) = (zone_name(number % zones), (number / zones / 4) as u16);
-            Host::serving(format!("s-{number:04}"), backend.address, zone, cell)
+            Endpoint::serving(format!("s-{number:04}"), backend.address, zone, cell)
         });
-        let hosts: Vec<Host> = hosts.collect();
-        let registry = Registry::start(hosts.clone(), need.watches).await.context("stand-in of discovery")?;
+        let endpoints: Vec<Endpoint> = endpoints.collect();
+        let registry =
+            Registry::start(endpoints.clone(), need.watches).await.context("stand-in of discovery")?;
         let mut rng = StdRng::seed_from_u64(options.seed ^ size as u64);
-        let loads = StdRng::seed_from_u64(rng.random());
+        let load_rng = StdRng::seed_from_u64(rng.random());
         let settings = |instance: usize| {
             let mut settings =
                 scenario.settings_of(instance as u32, size as u32, 0, (instance % zones) as u16);
@@ -172,42 +176,57 @@
         }
         let proxies: Vec<_> = children.proxies.iter().map(|p| p.address).collect();
         let direct: Vec<_> = backends.all.iter().map(|b| b.address).collect();
-        let direct = direct[..size.min(DIRECT_PER_PROXY * need.real.max(1))].to_vec();
-        backends.connect(Next { proxies: proxies.clone(), backends: direct.clone() });
+        let direct = direct[..size.min(DIRECT_BACKENDS_PER_PROXY * need.real.max(1))].to_vec();
+        backends.set_next_hops(NextHops { proxies: proxies.clone(), backends: direct.clone() });
         let load = Arc::new(Load {
             client: Arc::new(Client::new(1)),
             classes: classes(scenario),
             depths: plan.depths.clone(),
             proxies,
             backends: direct,
-            late: millis(plan.late_ms),
+            late_after: millis(plan.late_ms),
         });
-        Ok(Fleet { scenario, size, registry, backends, load, children, hosts, rng, loads })
+        Ok(Fleet { scenario, size, registry, backends, load, children, endpoints, rng, load_rng })
     }
 
-    async fn phases(&mut self) -> anyhow::Result<Vec<Phase>> {
+    async fn run_phases(&mut self) -> anyhow::Result<Vec<Phase>> {
         let zone = self.rng.random_range(0..self.scenario.target.zones);
         let region = self.rng.random_range(0..self.scenario.target.regions);
-        let of_zone: Vec<usize> = (0..self.size).filter(|n| n % self.scenario.target.zones == zone).collect();
-        let of_region =
+        let zone_backends: Vec<usize> =
+            (0..self.size).filter(|n| n % self.scenario.target.zones == zone).collect();
+        let is_in_region =
             |n: &usize| self.scenario.region_of((n % self.scenario.target.zones) as u16) == region;
-        let of_region: Vec<usize> = (0..self.size).filter(of_region).collect();
+        let region_backends: Vec<usize> = (0..self.size).filter(is_in_region).collect();
         let mut phases = Vec::new();
-        phases.push(self.phase("idle", Traffic::None, PhaseEvent::Nothing).await?);
+        phases.push(self.run_phase("idle", PhaseLoad::None, PhaseEvent::None).await?);
         self.warm_up().await?;
-        phases.push(self.phase("steady", Traffic::Compared, PhaseEvent::Nothing).await?);
-        phases.push(self.phase("idle, changes", Traffic::None, PhaseEvent::Changes).await?);
-        phases.push(self.phase("changes", Traffic::Proxied, PhaseEvent::Changes).await?);
-        phases.push(self.phase("zone lost", Traffic::Proxied, PhaseEvent::Lost(&of_zone)).await?);
-        phases.push(self.phase("zone back", Traffic::Proxied, PhaseEvent::Back(&of_zone)).await?);
+        phases.push(self.run_phase("steady", PhaseLoad::Compared, PhaseEvent::None).await?);
+        phases.push(self.run_phase("idle, changes", PhaseLoad::None, PhaseEvent::Changes).await?);
+        phases.push(self.run_phase("changes", PhaseLoad::Proxied, PhaseEvent::Changes).await?);
+        phases.push(
+            self.run_phase("zone lost", PhaseLoad::Proxied, PhaseEvent::BackendsLost(&zone_backends)).await?,
+        );
         phases.push(
-            self.phase("region cut", Traffic::Proxied, PhaseEvent::Mode(&of_region, Mode::Unresponsive))
+            self.run_phase("zone back", PhaseLoad::Proxied, PhaseEvent::BackendsRestored(&zone_backends))
                 .await?,
         );
         phases.push(
-            self.phase("region heard", Traffic::Proxied, PhaseEvent::Mode(&of_region, Mode::Serving)).await?,
+            self.run_phase(
+                "region cut",
+                PhaseLoad::Proxied,
+                PhaseEvent::SetMode(&region_backends, Mode::Unresponsive),
+            )
+            .await?,
         );
-        phases.push(self.phase("resync", Traffic::Proxied, PhaseEvent::Resync).await?);
+        phases.push(
+            self.run_phase(
+                "region heard",
+                PhaseLoad::Proxied,
+                PhaseEvent::SetMode(&region_backends, Mode::Serving),
+            )
+            .await?,
+        );
+        phases.push(self.run_phase("resync", PhaseLoad::Proxied, PhaseEvent::Resync).await?);
         Ok(phases)
     }
 
@@ -215,42 +234,47 @@
     async fn warm_up(&mut self) -> anyhow::Result<()> {
         let plan = &self.scenario.real;
         let rate = plan.hops_per_s_per_proxy * self.children.proxies.len() as f64;
-        let time = Duration::from_secs_f64(plan.phase_s).min(WARM_UP);
-        let (load, seed) = (self.load.clone(), self.loads.random());
+        let time = Duration::from_secs_f64(plan.phase_s).min(MAX_WARM_UP);
+        let (load, seed) = (self.load.clone(), self.load_rng.random());
         let calls = tokio::spawn(async move { load.run(seed, rate, time, true).await });
         calls.await.context("the load's generator").map(drop)
     }
 
     /// Measures what happens, under a load.
-    async fn phase(&mut self, name: &str, traffic: Traffic, what: PhaseEvent<'_>) -> anyhow::Result<Phase> {
+    async fn run_phase(
+        &mut self,
+        name: &str,
+        phase_load: PhaseLoad,
+        event: PhaseEvent<'_>,
+    ) -> anyhow::Result<Phase> {
         let plan = &self.scenario.real;
         let time = Duration::from_secs_f64(plan.phase_s);
         tracing::info!("size {}: {name}", self.size);
-        self.children.activity().await?;
+        self.children.take_activity().await?;
         let before = Readings::take(self)?;
-        let rate = match traffic {
-            Traffic::None => 0.0,
+        let rate = match phase_load {
+            PhaseLoad::None => 0.0,
             _ => plan.hops_per_s_per_proxy * self.children.proxies.len() as f64,
         };
         let (load, seed, direct) =
-            (self.load.clone(), self.loads.random(), matches!(traffic, Traffic::Compared));
+            (self.load.clone(), self.load_rng.random(), matches!(phase_load, PhaseLoad::Compared));
         let calls = tokio::spawn(async move { load.run(seed, rate, time, direct).await });
-        self.run_event(what, Instant::now() + time).await;
+        self.run_event(event, Instant::now() + time).await;
         let metrics = calls.await.context("the load's generator")?;
         // What the last change still has to do; the term counts from the change.
-        let most = Duration::from_secs_f64(self.scenario.target.in_force_within_s);
-        let seq = self.registry.version();
-        self.registry.in_force(seq, most).await;
+        let limit = Duration::from_secs_f64(self.scenario.target.in_force_within_s);
+        let version = self.registry.version();
+        self.registry.wait_until_in_force(version, limit).await;
         let after = Readings::take(self)?;
-        let activity = self.children.activity().await?;
-        let spread = self.registry.propagation();
+        let activity = self.children.take_activity().await?;
+        let propagation = self.registry.take_propagation();
         let wall = (after.at - before.at).as_secs_f64();
         let share = |after: &[usage::Usage], before: &[usage::Usage]| -> Vec<f64> {
-            let used = after.iter().zip(before).map(|(a, b)| a.processor.saturating_sub(b.processor));
+            let used = after.iter().zip(before).map(|(a, b)| a.cpu_time.saturating_sub(b.cpu_time));
             used.map(|used| 100.0 * used.as_secs_f64() / wall).collect()
         };
         let (real, hosts) = (share(&after.proxies, &before.proxies), share(&after.hosts, &before.hosts));
-        let resident = |of: &[usage::Usage]| of.iter().map(|u| u.resident as f64 / 1e6).sum::<f64>();
+        let resident = |of: &[usage::Usage]| of.iter().map(|u| u.resident_bytes as f64 / 1e6).sum::<f64>();
         let (count, simulated) =
             (real.len().max(1) as f64, self.children.hosts.iter().map(|h| h.proxy_count).sum::<usize>());
         let mean = real.iter().sum::<f64>() / count;
@@ -271,7 +295,7 @@
                 .map(|(&depth, &(asked, served))| (depth, asked, served))
                 .collect(),
             worth_lost_percent: 100.0
-                * (1.0 - metrics.earned / metrics.worth.max(f64::MIN_POSITIVE))
+                * (1.0 - metrics.worth_earned / metrics.worth.max(f64::MIN_POSITIVE))
                 * f64::from(u8::from(metrics.worth > 0.0)),
             sends_per_hop: (after.sends - before.sends) as f64 / metrics.hops.max(1) as f64,
             late_to_draining: after.late_to_draining - before.late_to_draining,
@@ -286,65 +310,69 @@
             registry_core_percent: 100.0 * after.registry.saturating_sub(before.registry).as_secs_f64()
                 / wall,
             real_resident_mb: resident(&after.proxies) / count,
-            real_resident_max_mb: after.proxies.iter().map(|u| u.resident as f64 / 1e6).fold(0.0, f64::max),
+            real_resident_max_mb: after
+                .proxies
+                .iter()
+                .map(|u| u.resident_bytes as f64 / 1e6)
+                .fold(0.0, f64::max),
             simulated_resident_mb: resident(&after.hosts) / simulated.max(1) as f64,
             control_kb_per_s: per_proxy(after.volume.bytes - before.volume.bytes) / 1000.0,
             control_messages_per_s: per_proxy(after.volume.messages - before.volume.messages),
-            changes: spread.changes,
-            changes_not_in_force: spread.unfinished,
-            in_force_ms: Quantiles::of_micros(&spread.each),
-            in_force_at_last_ms: Quantiles::of_micros(&spread.last),
-            added: added(&metrics),
+            changes: propagation.changes,
+            changes_not_in_force: propagation.incomplete_changes,
+            in_force_ms: Quantiles::of_micros(&propagation.delays),
+            in_force_at_last_ms: Quantiles::of_micros(&propagation.last_proxy_delays),
+            added: added_latency(&metrics),
         })
     }
 
-    async fn run_event(&mut self, what: PhaseEvent<'_>, end: Instant) {
-        match what {
-            PhaseEvent::Nothing => sleep_until(end).await,
-            PhaseEvent::Changes => self.changes(end).await,
-            PhaseEvent::Lost(numbers) => {
-                numbers.iter().for_each(|&n| self.backends.all[n].set(Mode::Gone));
+    async fn run_event(&mut self, event: PhaseEvent<'_>, end: Instant) {
+        match event {
+            PhaseEvent::None => sleep_until(end).await,
+            PhaseEvent::Changes => self.run_changes(end).await,
+            PhaseEvent::BackendsLost(numbers) => {
+                numbers.iter().for_each(|&n| self.backends.all[n].set_mode(Mode::Stopped));
                 sleep(millis(self.scenario.discovery.notice_ms)).await;
-                self.list(numbers, Health::Deleted);
+                self.publish_health(numbers, Health::Deleted);
                 sleep_until(end).await;
             }
-            PhaseEvent::Back(numbers) => {
+            PhaseEvent::BackendsRestored(numbers) => {
                 for &n in numbers {
                     self.backends.all[n].restart();
-                    self.backends.all[n].set(Mode::Serving);
-                    self.hosts[n].born_ms = unix_ms();
+                    self.backends.all[n].set_mode(Mode::Serving);
+                    self.endpoints[n].started_at_ms = unix_ms();
                 }
                 sleep(millis(self.scenario.discovery.notice_ms)).await;
-                self.list(numbers, Health::Serving);
+                self.publish_health(numbers, Health::Serving);
                 sleep_until(end).await;
             }
-            PhaseEvent::Mode(numbers, mode) => {
-                numbers.iter().for_each(|&n| self.backends.all[n].set(mode));
+            PhaseEvent::SetMode(numbers, mode) => {
+                numbers.iter().for_each(|&n| self.backends.all[n].set_mode(mode));
                 sleep_until(end).await;
             }
             PhaseEvent::Resync => {
-                self.registry.resync();
+                self.registry.publish_resync();
                 sleep_until(end).await;
             }
         }
     }
 
-    fn list(&mut self, numbers: &[usize], health: Health) {
+    fn publish_health(&mut self, numbers: &[usize], health: Health) {
         for &n in numbers {
-            self.hosts[n].health = health;
+            self.endpoints[n].health = health;
         }
-        self.registry.change(numbers.iter().map(|&n| self.hosts[n].clone()).collect());
+        self.registry.publish_change(numbers.iter().map(|&n| self.endpoints[n].clone()).collect());
     }
 
     /// Backends drain and come back as new processes, cold, one change after the other.
-    async fn changes(&mut self, end: Instant) {
+    async fn run_changes(&mut self, end: Instant) {
         let rate = self.scenario.changes_per_s();
-        let most = ((self.size as f64 * self.scenario.real.draining_share) as usize).max(1);
+        let max_draining = ((self.size as f64 * self.scenario.real.draining_share) as usize).max(1);
         let mut draining = VecDeque::new();
         let mut next = Instant::now();
         while rate > 0.0 && next < end {
             sleep_until(next).await;
-            if draining.len() >= most
+            if draining.len() >= max_draining
                 && let Some(n) = draining.pop_front()
             {
                 self.restart(n);
@@ -353,7 +381,7 @@
                 let Some(&n) = serving.choose(&mut self.rng) else { break };
                 draining.push_back(n);
                 self.backends.all[n].drain();
-                self.list(&[n], Health::Draining);
+                self.publish_health(&[n], Health::Draining);
             }
             next += Duration::from_secs_f64(1.0 / rate);
         }
@@ -366,14 +394,14 @@
 
     fn restart(&mut self, n: usize) {
         self.backends.all[n].restart();
-        self.hosts[n].born_ms = unix_ms();
-        self.list(&[n], Health::Serving);
+        self.endpoints[n].started_at_ms = unix_ms();
+        self.publish_health(&[n], Health::Serving);
     }
 }
 
 /// Which calls a phase has.
 #[derive(Clone, Copy)]
-enum Traffic {
+enum PhaseLoad {
     None,
     Proxied,
     /// And as many straight to backends.
@@ -382,14 +410,14 @@
 
 /// What happens in a phase.
 enum PhaseEvent<'a> {
-    Nothing,
+    None,
     Changes,
     /// Backends are gone, and taken off the list when that is noticed.
-    Lost(&'a [usize]),
+    BackendsLost(&'a [usize]),
     /// They are back as new processes, and listed again when that is noticed.
-    Back(&'a [usize]),
+    BackendsRestored(&'a [usize]),
     /// Backends do something else, which no list says.
-    Mode(&'a [usize], Mode),
+    SetMode(&'a [usize], Mode),
     /// Everybody is sent the full list.
     Resync,
 }
@@ -407,16 +435,16 @@
 
 impl Readings {
     fn take(fleet: &Fleet<'_>) -> anyhow::Result<Self> {
-        let processor = |name: &str, pids: Vec<u32>| -> anyhow::Result<Vec<usage::Usage>> {
-            let of = |pid| usage::of(pid).with_context(|| format!("{name}: ended early"));
+        let usages = |name: &str, pids: Vec<u32>| -> anyhow::Result<Vec<usage::Usage>> {
+            let of = |pid| usage::of_process(pid).with_context(|| format!("{name}: ended early"));
             pids.into_iter().map(of).collect()
         };
         let counts = fleet.backends.counts();
         Ok(Readings {
             at: Instant::now(),
-            proxies: processor("a real proxy", fleet.children.proxies.iter().map(|p| p.pid).collect())?,
-            hosts: processor("simulated proxies", fleet.children.hosts.iter().map(|h| h.pid).collect())?,
-            registry: usage::of_thread(registry::THREAD)?,
+            proxies: usages("a real proxy", fleet.children.proxies.iter().map(|p| p.pid).collect())?,
+            hosts: usages("simulated proxies", fleet.children.hosts.iter().map(|h| h.pid).collect())?,
+            registry: usage::of_thread(registry::THREAD_NAME)?,
             volume: fleet.registry.traffic().volume(),
             sends: counts.calls.load(Relaxed),
             late_to_draining: counts.late_to_draining.load(Relaxed),
@@ -425,7 +453,7 @@
 }
 
 /// What the proxies add to calls of each depth, against straight ones of the same phase.
-fn added(metrics: &LoadMetrics) -> Vec<Added> {
+fn added_latency(metrics: &LoadMetrics) -> Vec<Added> {
     let mut depths = BTreeMap::new();
     for ((depth, direct), times) in &metrics.times {
         let pair = depths.entry(*depth).or_insert_with(|| (histogram(), histogram()));
--- a/crates/scale-test/src/real/load.rs
+++ b/crates/scale-test/src/real/load.rs
@@ -20,7 +20,7 @@
     /// Its call, without the hops.
     pub call: Call,
     /// Share of all calls.
-    pub share: f64,
+    pub call_share: f64,
     /// Worth of an answer in time.
     pub priority_weight: f64,
     /// In time is within this.
@@ -42,7 +42,7 @@
     /// Straight to backends.
     pub backends: Vec<SocketAddr>,
     /// A call that is sent so much after its instant is late.
-    pub late: Duration,
+    pub late_after: Duration,
 }
 
 /// What became of calls.
@@ -69,17 +69,17 @@
     /// Worth of all of them.
     pub worth: f64,
     /// Worth of the answers.
-    pub earned: f64,
+    pub worth_earned: f64,
     /// Times to an answer that served, in microseconds, by depth and whether straight to backends.
     pub times: BTreeMap<(usize, bool), Histogram<u64>>,
 }
 
-struct Ended {
+struct CompletedCall {
     class: usize,
     query: Query,
     answer: Answer,
-    took: Duration,
-    late: bool,
+    latency: Duration,
+    is_late: bool,
 }
 
 impl Load {
@@ -90,56 +90,57 @@
         self: &Arc<Self>,
         seed: u64,
         hops_per_s: f64,
-        time: Duration,
-        direct: bool,
+        duration: Duration,
+        with_direct_calls: bool,
     ) -> LoadMetrics {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut metrics = LoadMetrics::new();
-        let depth = self.depths.iter().sum::<usize>() as f64 / self.depths.len().max(1) as f64;
-        let rate = hops_per_s / depth.max(1.0) * if direct { 2.0 } else { 1.0 };
+        let mean_depth = self.depths.iter().sum::<usize>() as f64 / self.depths.len().max(1) as f64;
+        let rate = hops_per_s / mean_depth.max(1.0) * if with_direct_calls { 2.0 } else { 1.0 };
         // A rate of 0 or less gives no gaps, and so no calls.
         let Some(gaps) = Exp::new(rate).ok().filter(|_| rate > 0.0 && !self.classes.is_empty()) else {
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(duration).await;
             return metrics;
         };
         let (mut calls, begin) = (JoinSet::new(), Instant::now());
         let mut due = begin;
         loop {
             due += Duration::from_secs_f64(gaps.sample(&mut rng));
-            if due >= begin + time {
+            if due >= begin + duration {
                 break;
             }
             sleep_until(due).await;
             let Some(&depth) = self.depths.choose(&mut rng) else { break };
-            let query = Query { hops: depth - 1, direct: direct && rng.random() };
-            let to = if query.direct { &self.backends } else { &self.proxies };
-            let Some(&to) = to.choose(&mut rng) else { break };
-            let class = self.draw(&mut rng);
+            let query = Query { hops: depth - 1, direct: with_direct_calls && rng.random() };
+            let addresses = if query.direct { &self.backends } else { &self.proxies };
+            let Some(&address) = addresses.choose(&mut rng) else { break };
+            let class = self.draw_class(&mut rng);
             let load = self.clone();
             calls.spawn(async move {
                 let call = Call { query: query.text(), ..load.classes[class].call.clone() };
-                let (late, sent) = (due.elapsed() > load.late, Instant::now());
-                let answer = load.client.call(to, &call).await;
-                Ended { class, query, answer, took: sent.elapsed(), late }
+                let (is_late, sent_at) = (due.elapsed() > load.late_after, Instant::now());
+                let answer = load.client.call(address, &call).await;
+                CompletedCall { class, query, answer, latency: sent_at.elapsed(), is_late }
             });
-            while let Some(Ok(ended)) = calls.try_join_next() {
-                metrics.add(&self.classes[ended.class], &ended);
+            while let Some(Ok(completed)) = calls.try_join_next() {
+                metrics.add(&self.classes[completed.class], &completed);
             }
         }
-        while let Some(ended) = calls.join_next().await {
+        while let Some(completed) = calls.join_next().await {
             // A task that panicked would be this program's fault, and its call is missed in the sum.
-            if let Ok(ended) = ended {
-                metrics.add(&self.classes[ended.class], &ended);
+            if let Ok(completed) = completed {
+                metrics.add(&self.classes[completed.class], &completed);
             }
         }
         metrics
     }
 
-    fn draw(&self, rng: &mut StdRng) -> usize {
-        let mut at = rng.random::<f64>() * self.classes.iter().map(|c| c.share).sum::<f64>();
+    fn draw_class(&self, rng: &mut StdRng) -> usize {
+        let mut remaining_share =
+            rng.random::<f64>() * self.classes.iter().map(|c| c.call_share).sum::<f64>();
         let found = self.classes.iter().position(|class| {
-            at -= class.share;
-            at < 0.0
+            remaining_share -= class.call_share;
+            remaining_share < 0.0
         });
         found.unwrap_or(0)
     }
@@ -158,34 +159,34 @@
             sent: 0,
             late: 0,
             worth: 0.0,
-            earned: 0.0,
+            worth_earned: 0.0,
             times: BTreeMap::new(),
         }
     }
 
-    fn add(&mut self, class: &Class, ended: &Ended) {
-        let depth = ended.query.hops + 1;
+    fn add(&mut self, class: &Class, completed: &CompletedCall) {
+        let depth = completed.query.hops + 1;
         self.sent += 1;
-        self.late += u64::from(ended.late);
-        if ended.answer == Answer::Served {
-            let times = self.times.entry((depth, ended.query.direct)).or_insert_with(super::histogram);
-            times.saturating_record(ended.took.as_micros() as u64);
+        self.late += u64::from(completed.is_late);
+        if completed.answer == Answer::Served {
+            let times = self.times.entry((depth, completed.query.direct)).or_insert_with(super::histogram);
+            times.saturating_record(completed.latency.as_micros() as u64);
         }
-        if ended.query.direct {
+        if completed.query.direct {
             return;
         }
         self.asked += 1;
         self.hops += depth as u64;
         self.worth += class.priority_weight;
         let (asked, served) = self.by_depth.entry(depth).or_default();
-        (*asked, *served) = (*asked + 1, *served + u64::from(ended.answer == Answer::Served));
-        match ended.answer {
+        (*asked, *served) = (*asked + 1, *served + u64::from(completed.answer == Answer::Served));
+        match completed.answer {
             Answer::Served => {
                 self.served += 1;
-                self.earned += class.priority_weight
-                    * if ended.took <= class.latency_objective { 1.0 } else { class.late_worth };
+                self.worth_earned += class.priority_weight
+                    * if completed.latency <= class.latency_objective { 1.0 } else { class.late_worth };
             }
-            Answer::Refused => self.refused += 1,
+            Answer::Rejected => self.refused += 1,
             Answer::Failed => self.failed += 1,
             Answer::TimedOut => self.timed_out += 1,
         }
--- a/crates/scale-test/src/real/mod.rs
+++ b/crates/scale-test/src/real/mod.rs
@@ -24,7 +24,7 @@
 /// The hidden command that hosts simulated proxies.
 pub const HOST_COMMAND: &str = "hollow-proxies";
 /// Longest time that a histogram tells from longer ones, in microseconds.
-const SLOWEST_US: u64 = 120_000_000;
+const MAX_RECORDED_US: u64 = 120_000_000;
 
 /// How the real part is started.
 #[derive(Debug, Clone)]
@@ -38,7 +38,7 @@
     /// Whether simulated proxies fill a size up.
     pub with_simulated: bool,
     /// Time for all sizes.
-    pub time: Duration,
+    pub run_timeout: Duration,
 }
 
 /// Whether the scenario's limits and the machine's allow a run.
@@ -47,10 +47,9 @@
 ///
 /// A line that names the limit and the need.
 pub fn check(scenario: &Scenario, with_simulated: bool) -> anyhow::Result<()> {
-    scenario
-        .sizes
-        .iter()
-        .try_for_each(|&size| requirements::Need::of(scenario, size, with_simulated).check(scenario, size))
+    scenario.sizes.iter().try_for_each(|&size| {
+        requirements::Requirements::for_size(scenario, size, with_simulated).check(scenario, size)
+    })
 }
 
 /// Plays the sizes one after the other. No process that it started is left when it returns, however it ends.
@@ -63,34 +62,38 @@
     check(scenario, options.with_simulated)?;
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
     let mut children = Children::default();
-    let played = tokio::select! {
-        sizes = sizes(scenario, options, &mut children) => sizes,
-        () = tokio::time::sleep(options.time) => {
-            Err(anyhow!("limits.run_s: the run is not over after {} s", options.time.as_secs()))
+    let result = tokio::select! {
+        sizes = run_sizes(scenario, options, &mut children) => sizes,
+        () = tokio::time::sleep(options.run_timeout) => {
+            Err(anyhow!("limits.run_s: the run is not over after {} s", options.run_timeout.as_secs()))
         }
         _ = interrupt.recv() => Err(anyhow!("interrupted")),
         _ = terminate.recv() => Err(anyhow!("terminated")),
     };
     children.stop().await;
-    played
+    result
 }
 
-async fn sizes(scenario: &Scenario, options: &Options, children: &mut Children) -> anyhow::Result<Vec<Size>> {
+async fn run_sizes(
+    scenario: &Scenario,
+    options: &Options,
+    children: &mut Children,
+) -> anyhow::Result<Vec<Size>> {
     let mut sizes = Vec::new();
     for &size in &scenario.sizes {
-        let played = fleet::size(scenario, options, size, children).await?;
+        let result = fleet::run_size(scenario, options, size, children).await?;
         children.stop().await;
         let limit = scenario.limits.memory_gb * 1000.0;
-        if played.total_resident_mb > limit {
-            bail!("limits.memory_gb: size {size} holds {:.0} MB", played.total_resident_mb);
+        if result.total_resident_mb > limit {
+            bail!("limits.memory_gb: size {size} holds {:.0} MB", result.total_resident_mb);
         }
-        sizes.push(played);
+        sizes.push(result);
     }
     Ok(sizes)
 }
 
 fn histogram() -> Histogram<u64> {
-    let Ok(histogram) = Histogram::new_with_max(SLOWEST_US, 3) else {
+    let Ok(histogram) = Histogram::new_with_max(MAX_RECORDED_US, 3) else {
         unreachable!("the bounds are constants that are allowed")
     };
     histogram
--- a/crates/scale-test/src/real/registry.rs
+++ b/crates/scale-test/src/real/registry.rs
@@ -2,7 +2,7 @@
 //! news. Every proxy has an address of its own, as its machine's agent would give it, so that a version that a proxy
 //! asks for news of shows which one holds it.
 
-use super::counted::{Counted, Traffic};
+use super::counted::{CountedStream, Traffic};
 use super::{histogram, loopback};
 use bytes::Bytes;
 use hdrhistogram::Histogram;
@@ -26,9 +26,9 @@
 use tokio::time::{Instant, timeout};
 
 /// Name of the thread that it runs on, by which its processor time is found.
-pub const THREAD: &str = "registry";
+pub const THREAD_NAME: &str = "registry";
 /// Longest wait of a watch.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
 /// Whether a backend takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -44,30 +44,40 @@
 
 /// An entry of the list.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Host {
+pub struct Endpoint {
     /// The backend's name.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Its address.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// Its zone.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// Its kind of machine.
-    pub class: &'static str,
+    #[serde(rename = "class")]
+    pub machine_type: &'static str,
     /// Its cell.
-    pub block: u16,
+    #[serde(rename = "block")]
+    pub cell: u16,
     /// Whether it takes new work.
     pub health: Health,
     /// Its size beside the others'.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub weight: f64,
     /// When it started, Unix time in milliseconds; 0 for long ago.
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_at_ms: u64,
 }
 
 #[derive(Serialize)]
-struct Page<'a> {
-    seq: u64,
-    whole: bool,
-    hosts: Vec<&'a Host>,
+struct EndpointListPage<'a> {
+    #[serde(rename = "seq")]
+    version: u64,
+    #[serde(rename = "whole")]
+    is_full: bool,
+    #[serde(rename = "hosts")]
+    endpoints: Vec<&'a Endpoint>,
 }
 
 /// How changes came into force.
@@ -76,63 +86,66 @@
     /// Changes made.
     pub changes: usize,
     /// Those that a proxy does not hold yet.
-    pub unfinished: usize,
+    pub incomplete_changes: usize,
     /// Times from a change to its being in force at a proxy, in microseconds; one for each change and proxy.
-    pub each: Histogram<u64>,
+    pub delays: Histogram<u64>,
     /// Times to the last proxy; one for each change that all of them hold.
-    pub last: Histogram<u64>,
+    pub last_proxy_delays: Histogram<u64>,
 }
 
-struct Change {
-    at: Instant,
-    missing: usize,
-    last: Duration,
+struct PendingChange {
+    published_at: Instant,
+    pending_proxies: usize,
+    last_delay: Duration,
 }
 
 struct State {
-    seq: u64,
+    version: u64,
     /// Entries by name with the version of their last change; those that are gone stay for the watches.
-    hosts: Vec<(Host, u64)>,
-    places: HashMap<String, usize>,
+    endpoints: Vec<(Endpoint, u64)>,
+    index_by_name: HashMap<String, usize>,
     /// A watch from before this version is answered with the whole list.
-    resync: u64,
+    resync_version: u64,
     /// Answers at the present version, by what was asked for.
-    pages: HashMap<Option<u64>, Bytes>,
+    page_cache: HashMap<Option<u64>, Bytes>,
     /// Version that each proxy holds.
-    held: Vec<u64>,
+    acknowledged_versions: Vec<u64>,
     /// Changes that are being watched, by version.
-    changes: HashMap<u64, Change>,
-    each: Histogram<u64>,
+    pending_changes: HashMap<u64, PendingChange>,
+    delays: Histogram<u64>,
 }
 
 impl State {
     /// The answer to a watch, or to a call for the whole list.
     fn page(&mut self, after: Option<u64>) -> Bytes {
         // Versions of another time are answered with what holds now.
-        let after = after.filter(|&after| after >= self.resync && after <= self.seq);
-        if let Some(page) = self.pages.get(&after) {
+        let after = after.filter(|&after| after >= self.resync_version && after <= self.version);
+        if let Some(page) = self.page_cache.get(&after) {
             return page.clone();
         }
-        let hosts = self.hosts.iter().filter(|(host, seq)| match after {
-            Some(after) => *seq > after,
-            None => host.health != Health::Deleted,
+        let endpoints = self.endpoints.iter().filter(|(endpoint, version)| match after {
+            Some(after) => *version > after,
+            None => endpoint.health != Health::Deleted,
         });
-        let hosts = hosts.map(|(host, _)| host).collect();
-        let page = Page { seq: self.seq, whole: after.is_none(), hosts };
+        let endpoints = endpoints.map(|(endpoint, _)| endpoint).collect();
+        let page = EndpointListPage { version: self.version, is_full: after.is_none(), endpoints };
         let page = Bytes::from(serde_json::to_vec(&page).unwrap_or_default());
-        self.pages.insert(after, page.clone());
+        self.page_cache.insert(after, page.clone());
         page
     }
 
     /// A proxy asks for news after a version: it holds that one.
-    fn acknowledge(&mut self, watcher: usize, after: u64) {
-        let Some(held) = self.held.get_mut(watcher).filter(|held| **held < after) else { return };
-        let before = std::mem::replace(held, after);
-        for seq in before + 1..=after {
-            if let Some(change) = self.changes.get_mut(&seq) {
-                change.last = change.at.elapsed();
-                change.missing = change.missing.saturating_sub(1);
-                self.each.saturating_record(change.last.as_micros() as u64);
+    fn acknowledge(&mut self, proxy: usize, after: u64) {
+        let Some(version) = self.acknowledged_versions.get_mut(proxy).filter(|version| **version < after)
+        else {
+            return;
+        };
+        let before = std::mem::replace(version, after);
+        for version in before + 1..=after {
+            if let Some(change) = self.pending_changes.get_mut(&version) {
+                change.last_delay = change.published_at.elapsed();
+                change.pending_proxies = change.pending_proxies.saturating_sub(1);
+                self.delays.saturating_record(change.last_delay.as_micros() as u64);
             }
         }
     }
@@ -141,9 +154,9 @@
 struct Shared {
     state: Mutex<State>,
     /// The present version.
-    seq: watch::Sender<u64>,
+    version: watch::Sender<u64>,
     /// Told of every acknowledgement.
-    acknowledged: watch::Sender<()>,
+    acknowledgements: watch::Sender<()>,
     traffic: Arc<Traffic>,
 }
 
@@ -168,35 +181,36 @@
     /// # Errors
     ///
     /// If an address can't be listened on or the thread can't be started.
-    pub async fn start(hosts: Vec<Host>, watchers: usize) -> io::Result<Self> {
-        let places = hosts.iter().enumerate().map(|(place, h)| (h.host.clone(), place)).collect();
+    pub async fn start(endpoints: Vec<Endpoint>, proxy_count: usize) -> io::Result<Self> {
+        let index_by_name =
+            endpoints.iter().enumerate().map(|(index, endpoint)| (endpoint.name.clone(), index)).collect();
         let state = State {
-            seq: 1,
-            hosts: hosts.into_iter().map(|host| (host, 1)).collect(),
-            places,
-            resync: 0,
-            pages: HashMap::new(),
-            held: vec![0; watchers],
-            changes: HashMap::new(),
-            each: histogram(),
+            version: 1,
+            endpoints: endpoints.into_iter().map(|endpoint| (endpoint, 1)).collect(),
+            index_by_name,
+            resync_version: 0,
+            page_cache: HashMap::new(),
+            acknowledged_versions: vec![0; proxy_count],
+            pending_changes: HashMap::new(),
+            delays: histogram(),
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
-            seq: watch::Sender::new(1),
-            acknowledged: watch::Sender::new(()),
+            version: watch::Sender::new(1),
+            acknowledgements: watch::Sender::new(()),
             traffic: Arc::default(),
         });
         let (stop, stopped) = oneshot::channel();
         let (started, start) = oneshot::channel();
         let serving = shared.clone();
-        std::thread::Builder::new().name(THREAD.to_string()).spawn(move || {
+        std::thread::Builder::new().name(THREAD_NAME.to_string()).spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = match runtime {
                 Ok(runtime) => runtime,
                 Err(e) => return drop(started.send(Err(e))),
             };
             LocalSet::new().block_on(&runtime, async {
-                let addresses = listen(&serving, watchers).await;
+                let addresses = listen(&serving, proxy_count).await;
                 // Whoever started it may have gone; then `stopped` ends it.
                 let _ = started.send(addresses);
                 let _ = stopped.await;
@@ -217,14 +231,14 @@
     }
 
     /// Changes entries as one version; returns it.
-    pub fn change(&self, hosts: Vec<Host>) -> u64 {
-        self.step(|s| {
-            for host in hosts {
-                match s.places.get(&host.host) {
-                    Some(&place) => s.hosts[place] = (host, s.seq),
+    pub fn publish_change(&self, endpoints: Vec<Endpoint>) -> u64 {
+        self.publish_version(|state| {
+            for endpoint in endpoints {
+                match state.index_by_name.get(&endpoint.name) {
+                    Some(&index) => state.endpoints[index] = (endpoint, state.version),
                     None => {
-                        s.places.insert(host.host.clone(), s.hosts.len());
-                        s.hosts.push((host, s.seq));
+                        state.index_by_name.insert(endpoint.name.clone(), state.endpoints.len());
+                        state.endpoints.push((endpoint, state.version));
                     }
                 }
             }
@@ -232,66 +246,75 @@
     }
 
     /// Has every watch answered with the whole list, as a new version; returns it.
-    pub fn resync(&self) -> u64 {
-        self.step(|s| s.resync = s.seq)
+    pub fn publish_resync(&self) -> u64 {
+        self.publish_version(|state| state.resync_version = state.version)
     }
 
     /// The present version.
     pub fn version(&self) -> u64 {
-        *self.shared.seq.borrow()
+        *self.shared.version.borrow()
     }
 
     /// Size of the whole list as it is sent, in bytes.
-    pub fn whole_bytes(&self) -> usize {
+    pub fn full_list_bytes(&self) -> usize {
         self.shared.state().page(None).len()
     }
 
     /// Waits until all proxies hold a version, at most so long; how many do.
-    pub async fn in_force(&self, seq: u64, most: Duration) -> usize {
-        let mut acknowledged = self.shared.acknowledged.subscribe();
-        let holding = || self.shared.state().held.iter().filter(|held| **held >= seq).count();
-        let all = async { while holding() < self.addresses.len() && acknowledged.changed().await.is_ok() {} };
+    pub async fn wait_until_in_force(&self, version: u64, limit: Duration) -> usize {
+        let mut acknowledgements = self.shared.acknowledgements.subscribe();
+        let acknowledged_count = || {
+            let state = self.shared.state();
+            state.acknowledged_versions.iter().filter(|acknowledged| **acknowledged >= version).count()
+        };
+        let all = async {
+            while acknowledged_count() < self.addresses.len() && acknowledgements.changed().await.is_ok() {}
+        };
         // Whether all or not, the count tells.
-        let _ = timeout(most, all).await;
-        holding()
+        let _ = timeout(limit, all).await;
+        acknowledged_count()
     }
 
     /// How the changes since the last call came into force.
-    pub fn propagation(&self) -> Propagation {
-        let s = &mut *self.shared.state();
-        let (mut last, mut unfinished) = (histogram(), 0);
-        let changes: Vec<Change> = std::mem::take(&mut s.changes).into_values().collect();
+    pub fn take_propagation(&self) -> Propagation {
+        let state = &mut *self.shared.state();
+        let (mut last_proxy_delays, mut incomplete_changes) = (histogram(), 0);
+        let changes: Vec<PendingChange> = std::mem::take(&mut state.pending_changes).into_values().collect();
         for change in &changes {
-            if change.missing == 0 {
-                last.saturating_record(change.last.as_micros() as u64);
+            if change.pending_proxies == 0 {
+                last_proxy_delays.saturating_record(change.last_delay.as_micros() as u64);
             } else {
-                unfinished += 1;
+                incomplete_changes += 1;
             }
         }
-        let each = std::mem::replace(&mut s.each, histogram());
-        Propagation { changes: changes.len(), unfinished, each, last }
+        let delays = std::mem::replace(&mut state.delays, histogram());
+        Propagation { changes: changes.len(), incomplete_changes, delays, last_proxy_delays }
     }
 
-    fn step(&self, what: impl FnOnce(&mut State)) -> u64 {
-        let seq = {
-            let s = &mut *self.shared.state();
-            s.seq += 1;
-            s.pages.clear();
-            what(s);
-            let change = Change { at: Instant::now(), missing: s.held.len(), last: Duration::ZERO };
-            s.changes.insert(s.seq, change);
-            s.seq
+    fn publish_version(&self, update: impl FnOnce(&mut State)) -> u64 {
+        let version = {
+            let state = &mut *self.shared.state();
+            state.version += 1;
+            state.page_cache.clear();
+            update(state);
+            let change = PendingChange {
+                published_at: Instant::now(),
+                pending_proxies: state.acknowledged_versions.len(),
+                last_delay: Duration::ZERO,
+            };
+            state.pending_changes.insert(state.version, change);
+            state.version
         };
-        self.shared.seq.send_replace(seq);
-        seq
+        self.shared.version.send_replace(version);
+        version
     }
 }
 
 /// Listens for every proxy, each on an address of its own.
-async fn listen(shared: &Arc<Shared>, watchers: usize) -> io::Result<Vec<SocketAddr>> {
+async fn listen(shared: &Arc<Shared>, proxy_count: usize) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
-    for watcher in 0..watchers {
-        let listener = TcpListener::bind((loopback(2, watcher), 0)).await?;
+    for proxy in 0..proxy_count {
+        let listener = TcpListener::bind((loopback(2, proxy), 0)).await?;
         addresses.push(listener.local_addr()?);
         let shared = shared.clone();
         spawn_local(async move {
@@ -302,8 +325,8 @@
                 let _ = stream.set_nodelay(true);
                 let shared = shared.clone();
                 spawn_local(async move {
-                    let io = TokioIo::new(Counted::new(stream, shared.traffic.clone()));
-                    let service = service_fn(|request| answer(shared.clone(), watcher, request));
+                    let io = TokioIo::new(CountedStream::new(stream, shared.traffic.clone()));
+                    let service = service_fn(|request| answer(shared.clone(), proxy, request));
                     // Its proxy has gone or will call again.
                     let _ = http1::Builder::new().serve_connection(io, service).await;
                 });
@@ -315,43 +338,52 @@
 
 async fn answer(
     shared: Arc<Shared>,
-    watcher: usize,
+    proxy: usize,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let mut reply = Response::new(Full::default());
+    let mut response = Response::new(Full::default());
     if request.method() != Method::GET || request.uri().path() != "/registry/instances" {
-        *reply.status_mut() = StatusCode::NOT_FOUND;
-        return Ok(reply);
+        *response.status_mut() = StatusCode::NOT_FOUND;
+        return Ok(response);
     }
     let query = request.uri().query().unwrap_or_default();
-    let figure = |name: &str| {
+    let number = |name: &str| {
         let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
         pairs.find(|(key, _)| *key == name).map(|(_, value)| value.parse::<u64>())
     };
-    let (after, wait) = match (figure("after").transpose(), figure("wait_ms").transpose()) {
-        (Ok(after), Ok(wait)) => (after, Duration::from_millis(wait.unwrap_or(0)).min(LONGEST_WAIT)),
+    let (after, wait) = match (number("after").transpose(), number("wait_ms").transpose()) {
+        (Ok(after), Ok(wait)) => (after, Duration::from_millis(wait.unwrap_or(0)).min(MAX_WATCH_WAIT)),
         _ => {
-            *reply.status_mut() = StatusCode::BAD_REQUEST;
-            return Ok(reply);
+            *response.status_mut() = StatusCode::BAD_REQUEST;
+            return Ok(response);
         }
     };
     if let Some(after) = after {
-        let mut seq = shared.seq.subscribe();
-        shared.state().acknowledge(watcher, after);
-        shared.acknowledged.send_replace(());
+        let mut version = shared.version.subscribe();
+        shared.state().acknowledge(proxy, after);
+        shared.acknowledgements.send_replace(());
         // If nothing comes in time, the answer says that there is nothing; a version of another time is over at once.
-        let _ = timeout(wait, seq.wait_for(|seq| *seq != after)).await;
+        let _ = timeout(wait, version.wait_for(|version| *version != after)).await;
     }
     let page = shared.state().page(after);
-    shared.traffic.answered();
-    *reply.body_mut() = Full::new(page);
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    Ok(reply)
+    shared.traffic.record_answer();
+    *response.body_mut() = Full::new(page);
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    Ok(response)
 }
 
-impl Host {
+impl Endpoint {
     /// An entry that serves, started long ago.
-    pub fn serving(host: String, dial: SocketAddr, site: String, block: u16) -> Self {
-        Host { host, dial, site, class: "m", block, health: Health::Serving, share: 1.0, born_ms: 0 }
+    pub fn serving(name: String, address: SocketAddr, zone: String, cell: u16) -> Self {
+        Endpoint {
+            name,
+            address,
+            zone,
+            machine_type: "m",
+            cell,
+            health: Health::Serving,
+            weight: 1.0,
+            started_at_ms: 0,
+        }
     }
 }
--- a/crates/scale-test/src/real/requirements.rs
+++ b/crates/scale-test/src/real/requirements.rs
@@ -4,7 +4,7 @@
 
 /// What a size needs of the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Need {
+pub struct Requirements {
     /// Real proxies.
     pub real: usize,
     /// Proxies of both kinds, each with its watch.
@@ -24,16 +24,16 @@
 /// Memory that a real proxy may use, by its configuration, in MB.
 pub const PROXY_MEMORY_MB: usize = 192;
 
-impl Need {
+impl Requirements {
     /// Of a size, with or without its simulated proxies.
-    pub fn of(scenario: &Scenario, size: usize, with_simulated: bool) -> Self {
+    pub fn for_size(scenario: &Scenario, size: usize, with_simulated: bool) -> Self {
         let real = scenario.run.real_processes.min(size);
         let watches = if with_simulated { size } else { real };
         let hosts = (watches - real).div_ceil(scenario.real.simulated_per_process);
         // A backend; for each proxy a listener of discovery and a watch; two pipes for each process.
         let descriptors =
             size + 2 * watches + (CONNECTIONS_PER_PROXY + 2) * real + 2 * hosts + RESERVED_DESCRIPTORS;
-        Need { real, watches, hosts, descriptors }
+        Requirements { real, watches, hosts, descriptors }
     }
 
     /// Whether the machine and the scenario's limits allow it; the limits are left as they are.
--- a/crates/scale-test/src/real/simulated_proxies.rs
+++ b/crates/scale-test/src/real/simulated_proxies.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, sleep};
 
 /// A timer that comes later than this is late.
-const LATE_TIMER: Duration = Duration::from_millis(20);
+const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(20);
 
 /// What a process of simulated proxies gets at its start, as one line.
 #[derive(Debug, Serialize, Deserialize)]
@@ -71,15 +71,15 @@
     /// Backends that the list names: the balancer's number, and the start of one that drains.
     listed: HashMap<String, (BackendId, Option<f64>)>,
     names: HashMap<BackendId, String>,
-    ready: usize,
+    ready_count: usize,
 }
 
 struct SimulatedProxy {
     state: RefCell<State>,
     settings: ResolvedSettings,
     start: Instant,
-    base: f64,
-    watching: watch::Sender<bool>,
+    start_unix_ms: f64,
+    poll_wanted: watch::Sender<bool>,
     activity: Rc<Cell<Activity>>,
 }
 
@@ -89,24 +89,29 @@
         let balancer = Balancer::new(settings.balancer.clone(), config.seed)?;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Ok(Rc::new(SimulatedProxy {
-            state: RefCell::new(State { balancer, listed: HashMap::new(), names: HashMap::new(), ready: 0 }),
+            state: RefCell::new(State {
+                balancer,
+                listed: HashMap::new(),
+                names: HashMap::new(),
+                ready_count: 0,
+            }),
             settings,
             start: Instant::now(),
-            base: unix.as_secs_f64() * 1000.0,
-            watching: watch::Sender::new(false),
+            start_unix_ms: unix.as_secs_f64() * 1000.0,
+            poll_wanted: watch::Sender::new(false),
             activity,
         }))
     }
 
-    fn count(&self, what: impl FnOnce(&mut Activity)) {
+    fn update_activity(&self, update: impl FnOnce(&mut Activity)) {
         let mut activity = self.activity.get();
-        what(&mut activity);
+        update(&mut activity);
         self.activity.set(activity);
     }
 
-    fn tell(self: &Rc<Self>, event: Event) {
+    fn handle_event(self: &Rc<Self>, event: Event) {
         let mut actions = Vec::new();
-        let now = self.base + self.start.elapsed().as_secs_f64() * 1000.0;
+        let now = self.start_unix_ms + self.start.elapsed().as_secs_f64() * 1000.0;
         self.state.borrow_mut().balancer.handle(now, event, &mut actions);
         for action in actions {
             match action {
@@ -116,15 +121,15 @@
                     spawn_local(async move {
                         let due = Instant::now() + delay;
                         sleep(delay).await;
-                        let late = due.elapsed() > LATE_TIMER;
-                        proxy.count(|a| {
-                            (a.wakes, a.late_wakes) = (a.wakes + 1, a.late_wakes + u64::from(late))
+                        let is_late = due.elapsed() > LATE_TIMER_THRESHOLD;
+                        proxy.update_activity(|a| {
+                            (a.wakes, a.late_wakes) = (a.wakes + 1, a.late_wakes + u64::from(is_late))
                         });
-                        proxy.tell(Event::TimerFired { token });
+                        proxy.handle_event(Event::TimerFired { token });
                     });
                 }
                 Action::PollEndpoints => {
-                    self.watching.send_replace(true);
+                    self.poll_wanted.send_replace(true);
                 }
                 // The others are about requests and connections, of which there are none.
                 _ => {}
@@ -133,83 +138,88 @@
     }
 
     /// The balancer's entry for a line of the list; the same rules as at the real proxy.
-    fn entry(&self, s: &mut State, host: EndpointRecord, older: bool) -> Option<EndpointInfo> {
-        let zone = self.settings.site.zone_names.iter().position(|zone| *zone == host.zone);
-        if zone.is_none() && host.health != HealthState::Deleted {
+    fn endpoint_info(
+        &self,
+        state: &mut State,
+        endpoint: EndpointRecord,
+        is_older: bool,
+    ) -> Option<EndpointInfo> {
+        let zone = self.settings.site.zone_names.iter().position(|zone| *zone == endpoint.zone);
+        if zone.is_none() && endpoint.health != HealthState::Deleted {
             return None;
         }
-        let (backend, draining) = s.listed.get(&host.name).copied().unwrap_or_else(|| {
+        let (backend, draining) = state.listed.get(&endpoint.name).copied().unwrap_or_else(|| {
             let mut hasher = DefaultHasher::new();
-            host.name.hash(&mut hasher);
+            endpoint.name.hash(&mut hasher);
             let mut id = hasher.finish() as BackendId;
-            while s.names.contains_key(&id) {
+            while state.names.contains_key(&id) {
                 id = id.wrapping_add(1);
             }
             (id, None)
         });
-        let phase = match host.health {
-            HealthState::Serving if older && draining == Some(host.started_at_ms) => Phase::Draining,
+        let phase = match endpoint.health {
+            HealthState::Serving if is_older && draining == Some(endpoint.started_at_ms) => Phase::Draining,
             HealthState::Serving => Phase::Ready,
             HealthState::Draining => Phase::Draining,
             HealthState::Deleted => Phase::Removed,
         };
         if phase == Phase::Removed {
-            s.listed.remove(&host.name);
-            s.names.remove(&backend);
+            state.listed.remove(&endpoint.name);
+            state.names.remove(&backend);
         } else {
-            s.names.insert(backend, host.name.clone());
-            let draining = (phase == Phase::Draining).then_some(host.started_at_ms);
-            s.listed.insert(host.name, (backend, draining));
+            state.names.insert(backend, endpoint.name.clone());
+            let draining = (phase == Phase::Draining).then_some(endpoint.started_at_ms);
+            state.listed.insert(endpoint.name, (backend, draining));
         }
         Some(EndpointInfo {
             backend,
             phase,
             zone: zone.unwrap_or(0) as u16,
-            started_at_ms: host.started_at_ms.max(0.0),
-            weight: host.weight.max(0.0),
-            cell: host.cell,
+            started_at_ms: endpoint.started_at_ms.max(0.0),
+            weight: endpoint.weight.max(0.0),
+            cell: endpoint.cell,
         })
     }
 }
 
 impl EndpointObserver for SimulatedProxy {
     fn has_ready_endpoint(&self) -> bool {
-        self.state.borrow().ready > 0
+        self.state.borrow().ready_count > 0
     }
 
     fn on_endpoint_list(self: &Rc<Self>, update: EndpointListUpdate) {
-        let EndpointListUpdate { kind, endpoints: hosts, is_older: older, .. } = update;
+        let EndpointListUpdate { kind, endpoints, is_older, .. } = update;
         let entries = {
-            let s = &mut *self.state.borrow_mut();
-            let before = match kind {
+            let state = &mut *self.state.borrow_mut();
+            let previous = match kind {
                 EndpointListKind::Delta => None,
                 _ => {
-                    s.names.clear();
-                    Some(std::mem::take(&mut s.listed))
+                    state.names.clear();
+                    Some(std::mem::take(&mut state.listed))
                 }
             };
-            let mut entries = Vec::with_capacity(hosts.len());
-            for host in hosts {
+            let mut entries = Vec::with_capacity(endpoints.len());
+            for endpoint in endpoints {
                 // A backend keeps its number from list to list.
-                if let Some((name, known)) = before.as_ref().and_then(|b| b.get_key_value(&host.name)) {
-                    s.listed.insert(name.clone(), *known);
+                if let Some((name, known)) = previous.as_ref().and_then(|b| b.get_key_value(&endpoint.name)) {
+                    state.listed.insert(name.clone(), *known);
                 }
-                entries.extend(self.entry(s, host, older));
+                entries.extend(self.endpoint_info(state, endpoint, is_older));
             }
-            s.ready = s.listed.values().filter(|(_, draining)| draining.is_none()).count();
+            state.ready_count = state.listed.values().filter(|(_, draining)| draining.is_none()).count();
             entries
         };
-        self.count(|a| a.lists += 1);
-        self.tell(Event::EndpointList { kind, endpoints: entries });
+        self.update_activity(|a| a.lists += 1);
+        self.handle_event(Event::EndpointList { kind, endpoints: entries });
     }
 
     fn on_poll_failed(self: &Rc<Self>) {
-        self.watching.send_replace(false);
-        self.tell(Event::EndpointList { kind: EndpointListKind::Failed, endpoints: Vec::new() });
+        self.poll_wanted.send_replace(false);
+        self.handle_event(Event::EndpointList { kind: EndpointListKind::Failed, endpoints: Vec::new() });
     }
 
     fn on_warning(&self, warning: &DiscoveryError) {
-        self.count(|a| a.notes += 1);
+        self.update_activity(|a| a.notes += 1);
         tracing::debug!("discovery: {warning}");
     }
 
@@ -230,10 +240,10 @@
     std::io::stdin().lock().read_line(&mut first)?;
     let config: HostConfig = serde_json::from_str(&first)?;
     drop(first);
-    let (asked, mut asks) = mpsc::unbounded_channel();
+    let (request_sender, mut requests) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines() {
-            if line.is_err() || asked.send(()).is_err() {
+            if line.is_err() || request_sender.send(()).is_err() {
                 return;
             }
         }
@@ -243,21 +253,21 @@
         for config in &config.proxies {
             let proxy = SimulatedProxy::new(config, activity.clone())?;
             let mode = proxy.settings.balancer.discovery_mode;
-            let grace = Duration::from_secs_f64(
+            let drain_deadline = Duration::from_secs_f64(
                 (proxy.settings.site.drain_deadline_ms / 1000.0).clamp(0.0, 86_400.0),
             );
             let options = FollowOptions {
                 address: config.discovery,
                 mode,
-                timeouts: WatchTimeouts::new(grace),
+                timeouts: WatchTimeouts::new(drain_deadline),
                 newest_version: Rc::default(),
-                poll_wanted: proxy.watching.subscribe(),
+                poll_wanted: proxy.poll_wanted.subscribe(),
             };
-            proxy.tell(Event::EndpointList { kind: EndpointListKind::Cached, endpoints: Vec::new() });
+            proxy.handle_event(Event::EndpointList { kind: EndpointListKind::Cached, endpoints: Vec::new() });
             spawn_local(follow(proxy, options));
         }
         drop(config);
-        while asks.recv().await.is_some() {
+        while requests.recv().await.is_some() {
             let mut out = std::io::stdout().lock();
             serde_json::to_writer(&mut out, &activity.take())?;
             writeln!(out)?;
--- a/crates/scale-test/src/real/usage.rs
+++ b/crates/scale-test/src/real/usage.rs
@@ -7,9 +7,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Usage {
     /// Processor time of its threads that live.
-    pub processor: Duration,
+    pub cpu_time: Duration,
     /// Memory that it holds now, in bytes.
-    pub resident: u64,
+    pub resident_bytes: u64,
 }
 
 /// Of a process.
@@ -17,16 +17,16 @@
 /// # Errors
 ///
 /// If it is gone or /proc can't be read.
-pub fn of(pid: u32) -> anyhow::Result<Usage> {
+pub fn of_process(pid: u32) -> anyhow::Result<Usage> {
     let process = Process::new(i32::try_from(pid)?)?;
-    let mut processor = Duration::ZERO;
+    let mut cpu_time = Duration::ZERO;
     for task in process.tasks()? {
         // A thread that has just ended counts no more.
         let Ok(task) = task else { continue };
-        processor += task.schedstat().map_or(Duration::ZERO, |s| Duration::from_nanos(s.sum_exec_runtime));
+        cpu_time += task.schedstat().map_or(Duration::ZERO, |s| Duration::from_nanos(s.sum_exec_runtime));
     }
-    let resident = process.stat()?.rss * procfs::page_size();
-    Ok(Usage { processor, resident })
+    let resident_bytes = process.stat()?.rss * procfs::page_size();
+    Ok(Usage { cpu_time, resident_bytes })
 }
 
 /// Of this process's thread of a name.
@@ -35,14 +35,14 @@
 ///
 /// If /proc can't be read.
 pub fn of_thread(name: &str) -> anyhow::Result<Duration> {
-    let mut sum = Duration::ZERO;
+    let mut total = Duration::ZERO;
     for task in Process::myself()?.tasks()? {
         let Ok(task) = task else { continue };
         if task.stat().is_ok_and(|stat| stat.comm == name) {
-            sum += task.schedstat().map_or(Duration::ZERO, |s| Duration::from_nanos(s.sum_exec_runtime));
+            total += task.schedstat().map_or(Duration::ZERO, |s| Duration::from_nanos(s.sum_exec_runtime));
         }
     }
-    Ok(sum)
+    Ok(total)
 }
 
 /// How busy the machine was lately: processes that wanted to run over the last minute.
--- a/crates/scale-test/tests/real.rs
+++ b/crates/scale-test/tests/real.rs
@@ -1,9 +1,9 @@
 //! The real part's own pieces on loopback connections, and the program: no test here waits for a time to pass, and
 //! what must come is waited for.
 
-use foldhitch_scale_test::real::backends::{Backends, Mode, Next, Work};
+use foldhitch_scale_test::real::backends::{BackendConfig, Backends, Mode, NextHops};
 use foldhitch_scale_test::real::client::{Answer, Call, Client};
-use foldhitch_scale_test::real::registry::{Health, Host, Registry};
+use foldhitch_scale_test::real::registry::{Endpoint, Health, Registry};
 use foldhitch_scale_test::scenario::Scenario;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
 use tokio::time::timeout;
 
 /// No test waits longer than this for what must come.
-const LONG: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const TARGET: &str = include_str!("../scenarios/target.toml");
 
-async fn soon<T>(what: impl Future<Output = T>) -> T {
-    timeout(LONG, what).await.expect("it comes")
+async fn within_timeout<T>(future: impl Future<Output = T>) -> T {
+    timeout(TEST_TIMEOUT, future).await.expect("it comes")
 }
 
 /// A connection to the stand-in, with what went over it.
@@ -35,20 +35,20 @@
 
 impl Watch {
     async fn open(address: SocketAddr) -> Self {
-        let stream = soon(TcpStream::connect(address)).await.expect("it listens");
+        let stream = within_timeout(TcpStream::connect(address)).await.expect("it listens");
         Watch { stream, bytes: 0 }
     }
 
-    async fn ask(&mut self, path: &str) {
+    async fn send_request(&mut self, path: &str) {
         let head = format!("GET {path} HTTP/1.1\r\nHost: registry\r\n\r\n");
         self.stream.write_all(head.as_bytes()).await.expect("open");
         self.bytes += head.len();
     }
 
     /// Status and body.
-    async fn answer(&mut self) -> (u16, Value) {
+    async fn read_response(&mut self) -> (u16, Value) {
         let mut text = Vec::new();
-        soon(async {
+        within_timeout(async {
             loop {
                 let head = text.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4);
                 if let Some(at) = head {
@@ -68,18 +68,18 @@
     }
 
     async fn call(&mut self, path: &str) -> (u16, Value) {
-        self.ask(path).await;
-        self.answer().await
+        self.send_request(path).await;
+        self.read_response().await
     }
 
     /// A watch: the page.
-    async fn page(&mut self, path: &str) -> (u64, bool, Vec<(String, String)>) {
-        self.ask(path).await;
-        self.news().await
+    async fn get_page(&mut self, path: &str) -> (u64, bool, Vec<(String, String)>) {
+        self.send_request(path).await;
+        self.read_page().await
     }
 
-    async fn news(&mut self) -> (u64, bool, Vec<(String, String)>) {
-        let (status, page) = self.answer().await;
+    async fn read_page(&mut self) -> (u64, bool, Vec<(String, String)>) {
+        let (status, page) = self.read_response().await;
         assert_eq!(status, 200);
         let host = |h: &Value| {
             assert!(h["dial"].as_str().is_some_and(|dial| dial.parse::<SocketAddr>().is_ok()));
@@ -92,37 +92,37 @@
     }
 }
 
-fn host(number: u16) -> Host {
-    let dial = SocketAddr::from(([127, 0, 0, 1], 1000 + number));
-    Host::serving(format!("s-{number}"), dial, "z0".to_string(), 0)
+fn endpoint(number: u16) -> Endpoint {
+    let address = SocketAddr::from(([127, 0, 0, 1], 1000 + number));
+    Endpoint::serving(format!("s-{number}"), address, "z0".to_string(), 0)
 }
 
-fn named(hosts: &[(u16, &str)]) -> Vec<(String, String)> {
+fn names_and_health(hosts: &[(u16, &str)]) -> Vec<(String, String)> {
     hosts.iter().map(|(number, health)| (format!("s-{number}"), (*health).to_string())).collect()
 }
 
 #[tokio::test]
-async fn a_watch_waits_for_news_and_gets_what_changed() {
-    let registry = Registry::start(vec![host(1), host(2), host(3)], 1).await.expect("it listens");
+async fn watch_waits_for_a_change_and_returns_it() {
+    let registry = Registry::start(vec![endpoint(1), endpoint(2), endpoint(3)], 1).await.expect("it listens");
     let mut watch = Watch::open(registry.addresses()[0]).await;
-    let all = named(&[(1, "SERVING"), (2, "SERVING"), (3, "SERVING")]);
-    assert_eq!(watch.page("/registry/instances").await, (1, true, all.clone()));
-    assert_eq!(watch.page("/registry/instances?after=1&wait_ms=1").await, (1, false, vec![]), "no news");
+    let all = names_and_health(&[(1, "SERVING"), (2, "SERVING"), (3, "SERVING")]);
+    assert_eq!(watch.get_page("/registry/instances").await, (1, true, all.clone()));
+    assert_eq!(watch.get_page("/registry/instances?after=1&wait_ms=1").await, (1, false, vec![]), "no news");
     // The stand-in has the watch before the change is made: its answer is news that was not there when it asked.
-    watch.ask("/registry/instances?after=1&wait_ms=60000").await;
-    assert_eq!(registry.in_force(1, LONG).await, 1);
-    let drained = Host { health: Health::Draining, ..host(2) };
-    assert_eq!(registry.change(vec![drained]), 2);
-    assert_eq!(watch.news().await, (2, false, named(&[(2, "DRAINING")])));
+    watch.send_request("/registry/instances?after=1&wait_ms=60000").await;
+    assert_eq!(registry.wait_until_in_force(1, TEST_TIMEOUT).await, 1);
+    let drained = Endpoint { health: Health::Draining, ..endpoint(2) };
+    assert_eq!(registry.publish_change(vec![drained]), 2);
+    assert_eq!(watch.read_page().await, (2, false, names_and_health(&[(2, "DRAINING")])));
     // Changes made while nobody watches come together, the last state of each.
-    registry.change(vec![Host { health: Health::Deleted, ..host(1) }, host(4)]);
-    registry.change(vec![Host { health: Health::Draining, ..host(4) }]);
-    let both = named(&[(1, "DELETED"), (4, "DRAINING")]);
-    assert_eq!(watch.page("/registry/instances?after=2&wait_ms=60000").await, (4, false, both));
+    registry.publish_change(vec![Endpoint { health: Health::Deleted, ..endpoint(1) }, endpoint(4)]);
+    registry.publish_change(vec![Endpoint { health: Health::Draining, ..endpoint(4) }]);
+    let both = names_and_health(&[(1, "DELETED"), (4, "DRAINING")]);
+    assert_eq!(watch.get_page("/registry/instances?after=2&wait_ms=60000").await, (4, false, both));
     // The whole list lacks what is gone; a version of another time gets it at once.
-    let whole = named(&[(2, "DRAINING"), (3, "SERVING"), (4, "DRAINING")]);
-    assert_eq!(watch.page("/registry/instances").await, (4, true, whole.clone()));
-    assert_eq!(watch.page("/registry/instances?after=99&wait_ms=60000").await, (4, true, whole));
+    let whole = names_and_health(&[(2, "DRAINING"), (3, "SERVING"), (4, "DRAINING")]);
+    assert_eq!(watch.get_page("/registry/instances").await, (4, true, whole.clone()));
+    assert_eq!(watch.get_page("/registry/instances?after=99&wait_ms=60000").await, (4, true, whole));
     for (path, status) in [
         ("/registry", 404),
         ("/registry/instances?after=x", 400),
@@ -132,7 +132,7 @@
     }
     // Every byte counts, both ways, and every call that was answered with a list. What was just read here is counted
     // there once its write has returned.
-    soon(async {
+    within_timeout(async {
         while registry.traffic().volume().bytes < watch.bytes as u64 {
             tokio::task::yield_now().await;
         }
@@ -143,77 +143,84 @@
 }
 
 #[tokio::test]
-async fn a_resync_sends_everybody_the_whole_list() {
-    let registry = Registry::start(vec![host(1), host(2)], 2).await.expect("it listens");
+async fn resync_sends_every_proxy_the_full_list() {
+    let registry = Registry::start(vec![endpoint(1), endpoint(2)], 2).await.expect("it listens");
     let mut watches = Vec::new();
     for &address in registry.addresses() {
         let mut watch = Watch::open(address).await;
-        watch.ask("/registry/instances?after=1&wait_ms=60000").await;
+        watch.send_request("/registry/instances?after=1&wait_ms=60000").await;
         watches.push(watch);
     }
-    assert_eq!(registry.in_force(1, LONG).await, 2);
-    assert_eq!(registry.resync(), 2);
-    let all = named(&[(1, "SERVING"), (2, "SERVING")]);
+    assert_eq!(registry.wait_until_in_force(1, TEST_TIMEOUT).await, 2);
+    assert_eq!(registry.publish_resync(), 2);
+    let all = names_and_health(&[(1, "SERVING"), (2, "SERVING")]);
     for watch in &mut watches {
-        assert_eq!(watch.news().await, (2, true, all.clone()));
+        assert_eq!(watch.read_page().await, (2, true, all.clone()));
     }
     // After it, changes are told as such again.
-    registry.change(vec![host(2)]);
+    registry.publish_change(vec![endpoint(2)]);
     for watch in &mut watches {
-        let changed = watch.page("/registry/instances?after=2&wait_ms=60000").await;
-        assert_eq!(changed, (3, false, named(&[(2, "SERVING")])));
+        let changed = watch.get_page("/registry/instances?after=2&wait_ms=60000").await;
+        assert_eq!(changed, (3, false, names_and_health(&[(2, "SERVING")])));
     }
 }
 
 #[tokio::test]
-async fn a_change_is_in_force_where_a_proxy_asks_for_news_of_it() {
-    let registry = Registry::start(vec![host(1)], 2).await.expect("it listens");
+async fn change_is_in_force_once_a_proxy_acknowledges_it() {
+    let registry = Registry::start(vec![endpoint(1)], 2).await.expect("it listens");
     let mut watches = Vec::new();
     for &address in registry.addresses() {
         watches.push(Watch::open(address).await);
     }
-    let (two, three) = (registry.change(vec![host(1)]), registry.change(vec![host(1)]));
+    let (two, three) =
+        (registry.publish_change(vec![endpoint(1)]), registry.publish_change(vec![endpoint(1)]));
     assert_eq!((two, three), (2, 3));
     // One holds both, the other the first.
-    watches[0].page("/registry/instances?after=3&wait_ms=1").await;
-    watches[1].page("/registry/instances?after=2&wait_ms=1").await;
-    assert_eq!(registry.in_force(2, LONG).await, 2);
-    assert_eq!(registry.in_force(3, Duration::ZERO).await, 1);
-    let spread = registry.propagation();
-    assert_eq!((spread.changes, spread.unfinished), (2, 1));
-    assert_eq!((spread.each.len(), spread.last.len()), (3, 1));
-    assert_eq!(registry.propagation().changes, 0, "told once");
+    watches[0].get_page("/registry/instances?after=3&wait_ms=1").await;
+    watches[1].get_page("/registry/instances?after=2&wait_ms=1").await;
+    assert_eq!(registry.wait_until_in_force(2, TEST_TIMEOUT).await, 2);
+    assert_eq!(registry.wait_until_in_force(3, Duration::ZERO).await, 1);
+    let propagation = registry.take_propagation();
+    assert_eq!((propagation.changes, propagation.incomplete_changes), (2, 1));
+    assert_eq!((propagation.delays.len(), propagation.last_proxy_delays.len()), (3, 1));
+    assert_eq!(registry.take_propagation().changes, 0, "told once");
 }
 
-fn work() -> Work {
-    Work { warm: Duration::ZERO, cold: Duration::ZERO, cold_for: LONG, drain_deadline: Duration::ZERO }
+fn backend_config() -> BackendConfig {
+    BackendConfig {
+        warm_service_time: Duration::ZERO,
+        cold_service_time: Duration::ZERO,
+        warm_up: TEST_TIMEOUT,
+        drain_deadline: Duration::ZERO,
+    }
 }
 
 fn call(query: &str) -> Call {
     Call {
         class: "query".to_string(),
         method: hyper::Method::GET,
-        keyed: false,
+        has_idempotency_key: false,
         query: query.to_string(),
-        time_limit: LONG,
+        time_limit: TEST_TIMEOUT,
     }
 }
 
 /// Connects until a connect is seen under way in the system's table of connections: one that does not come up. Those
 /// that still find the backend as it was are dropped.
-async fn stuck(address: SocketAddr) -> JoinHandle<std::io::Result<TcpStream>> {
+async fn connect_stuck_in_syn_sent(address: SocketAddr) -> JoinHandle<std::io::Result<TcpStream>> {
     const SYN_SENT: &str = "02";
     let port = format!(":{:04X}", address.port());
-    let waits = |line: &str| {
+    let is_connecting = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields.get(2).is_some_and(|remote| remote.ends_with(&port)) && fields.get(3) == Some(&SYN_SENT)
     };
-    let under_way = || std::fs::read_to_string("/proc/net/tcp").expect("a table").lines().any(waits);
+    let is_under_way =
+        || std::fs::read_to_string("/proc/net/tcp").expect("a table").lines().any(is_connecting);
     let mut found = None;
-    soon(async {
+    within_timeout(async {
         while found.is_none() {
             let connect = tokio::spawn(TcpStream::connect(address));
-            while !connect.is_finished() && !under_way() {
+            while !connect.is_finished() && !is_under_way() {
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
             found = Some(connect).filter(|connect| !connect.is_finished());
@@ -224,32 +231,32 @@
 }
 
 #[tokio::test]
-async fn backends_serve_are_silent_are_gone_and_come_back() {
-    let backends = Backends::start(1, work()).expect("it listens");
+async fn backend_becomes_unresponsive_stops_and_restarts() {
+    let backends = Backends::start(1, backend_config()).expect("it listens");
     let (backend, client) = (&backends.all[0], Arc::new(Client::new(1)));
     assert_eq!(client.call(backend.address, &call("")).await, Answer::Served);
     // Silent: the call is there, and is answered once the backend is heard again.
-    backend.set(Mode::Unresponsive);
+    backend.set_mode(Mode::Unresponsive);
     let (caller, address) = (client.clone(), backend.address);
-    let asked = tokio::spawn(async move { caller.call(address, &call("")).await });
-    soon(async {
+    let pending_call = tokio::spawn(async move { caller.call(address, &call("")).await });
+    within_timeout(async {
         while backends.counts().calls.load(Relaxed) < 2 {
             tokio::task::yield_now().await;
         }
     })
     .await;
-    assert!(!asked.is_finished());
+    assert!(!pending_call.is_finished());
     // A new connection does not come up, by the system's table, and does once the backend is heard again.
-    let connect = stuck(address).await;
-    backend.set(Mode::Serving);
-    assert_eq!(soon(asked).await.expect("it ends"), Answer::Served);
-    assert!(soon(connect).await.expect("it ends").is_ok());
+    let connect = connect_stuck_in_syn_sent(address).await;
+    backend.set_mode(Mode::Serving);
+    assert_eq!(within_timeout(pending_call).await.expect("it ends"), Answer::Served);
+    assert!(within_timeout(connect).await.expect("it ends").is_ok());
     // Gone: an open connection ends, and new ones are refused.
     let mut open = TcpStream::connect(address).await.expect("it listens");
     let _ = client.call(address, &call("")).await;
-    backend.set(Mode::Gone);
-    assert!(!soon(open.read(&mut [0; 1])).await.is_ok_and(|n| n > 0));
-    soon(async {
+    backend.set_mode(Mode::Stopped);
+    assert!(!within_timeout(open.read(&mut [0; 1])).await.is_ok_and(|n| n > 0));
+    within_timeout(async {
         while TcpStream::connect(address).await.is_ok() {
             tokio::task::yield_now().await;
         }
@@ -257,8 +264,8 @@
     .await;
     assert_eq!(client.call(address, &call("")).await, Answer::Failed);
     backend.restart();
-    backend.set(Mode::Serving);
-    soon(async {
+    backend.set_mode(Mode::Serving);
+    within_timeout(async {
         while client.call(address, &call("")).await != Answer::Served {
             tokio::task::yield_now().await;
         }
@@ -272,17 +279,17 @@
 }
 
 #[tokio::test]
-async fn a_chain_is_as_deep_as_its_call_says_and_fails_with_its_last() {
-    let backends = Backends::start(2, work()).expect("they listen");
+async fn call_chain_has_its_depth_and_fails_with_its_last_hop() {
+    let backends = Backends::start(2, backend_config()).expect("they listen");
     let client = Client::new(1);
     let to: Vec<SocketAddr> = backends.all.iter().map(|b| b.address).collect();
-    backends.connect(Next { proxies: to.clone(), backends: to.clone() });
+    backends.set_next_hops(NextHops { proxies: to.clone(), backends: to.clone() });
     assert_eq!(client.call(to[0], &call("hops=9&direct=0")).await, Answer::Served);
     assert_eq!(backends.counts().calls.load(Relaxed), 10, "each hop");
     assert_eq!(client.call(to[0], &call("hops=9&direct=1")).await, Answer::Served);
     assert_eq!(backends.counts().calls.load(Relaxed), 10, "straight ones are not counted");
-    backends.all[1].set(Mode::Gone);
-    soon(async {
+    backends.all[1].set_mode(Mode::Stopped);
+    within_timeout(async {
         while TcpStream::connect(to[1]).await.is_ok() {
             tokio::task::yield_now().await;
         }
@@ -312,22 +319,22 @@
 }
 
 /// A program in a real proxy's place.
-fn stand_in(folder: &Path, script: &str) -> PathBuf {
+fn proxy_script(folder: &Path, script: &str) -> PathBuf {
     let path = folder.join("proxy.sh");
     std::fs::write(&path, format!("#!/bin/sh\n{script}\n")).expect("the folder takes a file");
-    let runs = std::fs::Permissions::from_mode(0o755);
-    std::fs::set_permissions(&path, runs).expect("it is ours");
+    let executable = std::fs::Permissions::from_mode(0o755);
+    std::fs::set_permissions(&path, executable).expect("it is ours");
     path
 }
 
 /// The processes that a log names.
-fn started(log: &str) -> Vec<u32> {
+fn started_processes(log: &str) -> Vec<u32> {
     let ids = log.lines().filter_map(|line| line.split_once("process ")?.1.split_once(':'));
     ids.filter_map(|(id, _)| id.parse().ok()).collect()
 }
 
-fn nothing_is_left(log: &str, folder: &Path) {
-    let processes = started(log);
+fn assert_nothing_is_left(log: &str, folder: &Path) {
+    let processes = started_processes(log);
     assert!(!processes.is_empty(), "{log}");
     for id in processes {
         assert!(!Path::new(&format!("/proc/{id}")).exists(), "{id} is left: {log}");
@@ -342,45 +349,45 @@
 }
 
 #[tokio::test]
-async fn nothing_is_left_of_a_run_whose_proxy_ends_early() {
+async fn run_whose_proxy_exits_early_leaves_nothing_behind() {
     let folder = tempfile::tempdir().expect("a folder");
     let (scenario, proxy) =
-        (scenario(folder.path(), &[]), stand_in(folder.path(), "echo no room >&2; exit 3"));
+        (scenario(folder.path(), &[]), proxy_script(folder.path(), "echo no room >&2; exit 3"));
     let run = program(folder.path()).arg("run").arg(scenario).arg("--proxy").arg(proxy).output();
-    let output = soon(run).await.expect("it starts");
+    let output = within_timeout(run).await.expect("it starts");
     assert!(!output.status.success());
     assert_eq!(last_line(&output), "scale: n0: ended before it listened: no room");
-    nothing_is_left(&String::from_utf8_lossy(&output.stderr), folder.path());
+    assert_nothing_is_left(&String::from_utf8_lossy(&output.stderr), folder.path());
 }
 
 #[tokio::test]
-async fn nothing_is_left_of_a_run_that_is_interrupted() {
+async fn interrupted_run_leaves_nothing_behind() {
     let folder = tempfile::tempdir().expect("a folder");
     let script = "echo listening on 127.0.0.1:1 >&2; exec sleep 600";
-    let (scenario, proxy) = (scenario(folder.path(), &[]), stand_in(folder.path(), script));
+    let (scenario, proxy) = (scenario(folder.path(), &[]), proxy_script(folder.path(), script));
     let mut command = program(folder.path());
     let command = command.arg("run").arg(scenario).arg("--proxy").arg(proxy).stderr(Stdio::piped());
     let mut run = command.spawn().expect("it starts");
     let mut lines = BufReader::new(run.stderr.take().expect("piped")).lines();
     let mut log = String::new();
     // One process of hollow proxies and two real ones.
-    while started(&log).len() < 3 {
-        let line = soon(lines.next_line()).await.expect("readable").expect("it goes on");
+    while started_processes(&log).len() < 3 {
+        let line = within_timeout(lines.next_line()).await.expect("readable").expect("it goes on");
         log = format!("{log}{line}\n");
     }
     let id = run.id().expect("it runs").to_string();
-    let sent = soon(Command::new("kill").args(["-INT", &id]).status()).await;
+    let sent = within_timeout(Command::new("kill").args(["-INT", &id]).status()).await;
     assert!(sent.expect("kill runs").success());
-    assert!(!soon(run.wait()).await.expect("it ran").success());
-    while let Some(line) = soon(lines.next_line()).await.expect("readable") {
+    assert!(!within_timeout(run.wait()).await.expect("it ran").success());
+    while let Some(line) = within_timeout(lines.next_line()).await.expect("readable") {
         log = format!("{log}{line}\n");
     }
     assert_eq!(log.lines().last(), Some("scale: interrupted"));
-    nothing_is_left(&log, folder.path());
+    assert_nothing_is_left(&log, folder.path());
 }
 
 #[tokio::test]
-async fn a_scenario_that_can_not_be_run_gives_one_line_that_names_the_key() {
+async fn invalid_scenario_prints_one_line_that_names_the_key() {
     let folder = tempfile::tempdir().expect("a folder");
     for (from, to, key) in [
         ("phase_s = 4.0", "phase_s = 0.0", "real.phase_s"),
@@ -391,36 +398,37 @@
     ] {
         let scenario = scenario(folder.path(), &[(from, to)]);
         for command in ["check", "run"] {
-            let output = soon(program(folder.path()).arg(command).arg(&scenario).output()).await;
+            let output = within_timeout(program(folder.path()).arg(command).arg(&scenario).output()).await;
             let output = output.expect("it starts");
-            let said = String::from_utf8_lossy(&output.stderr).to_string();
+            let stderr = String::from_utf8_lossy(&output.stderr).to_string();
             assert!(!output.status.success() && output.stdout.is_empty(), "{command} {to}");
-            assert!(said.lines().count() == 1 && said.contains(key), "{command} {to}: {said}");
+            assert!(stderr.lines().count() == 1 && stderr.contains(key), "{command} {to}: {stderr}");
         }
     }
     let scenario = scenario(folder.path(), &[]);
     assert!(Scenario::load(&scenario).is_ok());
-    let output = soon(program(folder.path()).arg("check").arg(&scenario).output()).await.expect("it starts");
+    let output =
+        within_timeout(program(folder.path()).arg("check").arg(&scenario).output()).await.expect("it starts");
     assert!(output.status.success(), "{}", last_line(&output));
 }
 
 #[tokio::test]
-async fn too_few_descriptors_are_told_before_anything_is_started() {
+async fn too_few_descriptors_are_reported_before_the_start() {
     let folder = tempfile::tempdir().expect("a folder");
     let scenario = scenario(folder.path(), &[]);
     let command = "ulimit -n 128; exec \"$0\" run \"$1\" --proxy /bin/false";
     let mut shell = Command::new("/bin/sh");
     let shell =
         shell.args(["-c", command, env!("CARGO_BIN_EXE_foldhitch-scale-test")]).arg(scenario).output();
-    let output = soon(shell).await.expect("it starts");
+    let output = within_timeout(shell).await.expect("it starts");
     assert!(!output.status.success());
-    let said = String::from_utf8_lossy(&output.stderr).to_string();
-    assert_eq!(said, "scale: descriptors: the limit is 128, and size 29 needs 1024\n");
+    let stderr = String::from_utf8_lossy(&output.stderr).to_string();
+    assert_eq!(stderr, "scale: descriptors: the limit is 128, and size 29 needs 1024\n");
 }
 
 /// The whole way, with the release build of the proxy as the checks make it before the tests.
 #[tokio::test]
-async fn a_small_run_measures_every_phase_and_leaves_nothing() {
+async fn small_run_measures_every_phase_and_leaves_nothing() {
     let proxy = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../target/release/foldhitch-proxy");
     assert!(proxy.is_file(), "cargo build --release comes first");
     let folder = tempfile::tempdir().expect("a folder");
@@ -435,9 +443,9 @@
         .args(["--part", "real", "--json"])
         .arg(&json)
         .output();
-    let output = soon(run).await.expect("it starts");
+    let output = within_timeout(run).await.expect("it starts");
     assert!(output.status.success(), "{}", last_line(&output));
-    nothing_is_left(&String::from_utf8_lossy(&output.stderr), folder.path());
+    assert_nothing_is_left(&String::from_utf8_lossy(&output.stderr), folder.path());
     let report: Value = serde_json::from_slice(&std::fs::read(json).expect("a report")).expect("JSON");
     let size = &report["real"]["sizes"][0];
     assert_eq!((&size["size"], &size["real"], &size["hollow"]), (&29.into(), &2.into(), &27.into()));
