--- a/crates/scale-test/src/real/counted.rs
+++ b/crates/scale-test/src/real/counted.rs
@@ -1,4 +1,4 @@
-//! A connection that counts what goes over it.
+//! A TCP stream that counts the bytes that are read and written.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What went over many connections.
+/// The traffic of a set of connections.
 #[derive(Debug, Default)]
 pub struct Traffic {
     bytes_read: AtomicU64,
@@ -16,22 +16,22 @@
     answered_calls: AtomicU64,
 }
 
-/// The same at one instant.
+/// A snapshot of the counters in [`Traffic`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Volume {
-    /// Bytes both ways, without the headers of TCP and IP.
+    /// Bytes in both directions, without TCP and IP headers.
     pub bytes: u64,
-    /// Calls and their answers.
+    /// Requests and their responses, each counted as one message.
     pub messages: u64,
 }
 
 impl Traffic {
-    /// A call was answered.
+    /// Counts a request that has been answered.
     pub fn record_answer(&self) {
         self.answered_calls.fetch_add(1, Relaxed);
     }
 
-    /// All so far.
+    /// Returns the traffic so far.
     pub fn volume(&self) -> Volume {
         Volume {
             bytes: self.bytes_read.load(Relaxed) + self.bytes_written.load(Relaxed),
@@ -40,14 +40,14 @@
     }
 }
 
-/// The connection.
+/// A TCP stream that adds its traffic to a shared [`Traffic`].
 pub struct CountedStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
 }
 
 impl CountedStream {
-    /// Counts into `traffic` from now on.
+    /// Wraps a stream; bytes are counted into `traffic` from now on.
     pub fn new(stream: TcpStream, traffic: Arc<Traffic>) -> Self {
         CountedStream { stream, traffic }
     }
--- a/crates/scale-test/src/real/registry.rs
+++ b/crates/scale-test/src/real/registry.rs
@@ -1,6 +1,8 @@
-//! A stand-in of discovery, from the protocol page: one versioned list, whole or as changes, and watches that wait for
-//! news. Every proxy has an address of its own, as its machine's agent would give it, so that a version that a proxy
-//! asks for news of shows which one holds it.
+//! A stand-in for the discovery service, written to its protocol page: it serves one versioned endpoint list, in full
+//! or as changes, and supports watches, which are answered when the list changes.
+//!
+//! Every proxy polls an address of its own, as if the agent on its machine provided it. The stand-in therefore knows
+//! which proxy sent a poll, and the `after` version of the poll shows which version this proxy has applied.
 
 use super::counted::{CountedStream, Traffic};
 use super::{histogram, loopback};
@@ -25,47 +27,47 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout};
 
-/// Name of the thread that it runs on, by which its processor time is found.
+/// The name of the thread that runs the stand-in, by which its CPU time is found.
 pub const THREAD_NAME: &str = "registry";
-/// Longest wait of a watch.
+/// The longest time that a watch is held open.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// Whether a backend takes new work.
+/// The health of a backend, as listed by discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Health {
-    /// Takes work.
+    /// Accepts new requests.
     Serving,
-    /// Finishes its work.
+    /// Finishes its requests and accepts no new ones.
     Draining,
-    /// Gone.
+    /// Removed from the list.
     Deleted,
 }
 
-/// An entry of the list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Endpoint {
     /// The backend's name.
     #[serde(rename = "host")]
     pub name: String,
-    /// Its address.
+    /// The address that it listens on.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// The name of its zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Its kind of machine.
+    /// The type of its machine.
     #[serde(rename = "class")]
     pub machine_type: &'static str,
-    /// Its cell.
+    /// The number of its cell.
     #[serde(rename = "block")]
     pub cell: u16,
-    /// Whether it takes new work.
+    /// Its health.
     pub health: Health,
-    /// Its size beside the others'.
+    /// Its capacity relative to the other backends.
     #[serde(rename = "share")]
     pub weight: f64,
-    /// When it started, Unix time in milliseconds; 0 for long ago.
+    /// The start time of its process, in Unix milliseconds; 0 means long ago.
     #[serde(rename = "born_ms")]
     pub started_at_ms: u64,
 }
@@ -80,16 +82,16 @@
     endpoints: Vec<&'a Endpoint>,
 }
 
-/// How changes came into force.
+/// How fast changes of the list reached the proxies.
 #[derive(Debug, Clone)]
 pub struct Propagation {
-    /// Changes made.
+    /// The number of published changes.
     pub changes: usize,
-    /// Those that a proxy does not hold yet.
+    /// The number of changes that at least one proxy has not acknowledged yet.
     pub incomplete_changes: usize,
-    /// Times from a change to its being in force at a proxy, in microseconds; one for each change and proxy.
+    /// The times from a change until it is in force at a proxy, in microseconds, one per change and proxy.
     pub delays: Histogram<u64>,
-    /// Times to the last proxy; one for each change that all of them hold.
+    /// The times from a change until it is in force at all proxies, one per change that all of them acknowledged.
     pub last_proxy_delays: Histogram<u64>,
 }
 
@@ -101,24 +103,24 @@
 
 struct State {
     version: u64,
-    /// Entries by name with the version of their last change; those that are gone stay for the watches.
+    /// All entries with the version of their last change. Deleted entries stay, because watches must report them.
     endpoints: Vec<(Endpoint, u64)>,
     index_by_name: HashMap<String, usize>,
-    /// A watch from before this version is answered with the whole list.
+    /// Watches with an older `after` version are answered with the full list.
     resync_version: u64,
-    /// Answers at the present version, by what was asked for.
+    /// Response bodies for the current version, by the `after` version that they answer.
     page_cache: HashMap<Option<u64>, Bytes>,
-    /// Version that each proxy holds.
+    /// The version that each proxy has acknowledged.
     acknowledged_versions: Vec<u64>,
-    /// Changes that are being watched, by version.
+    /// Changes whose propagation is measured, by version.
     pending_changes: HashMap<u64, PendingChange>,
     delays: Histogram<u64>,
 }
 
 impl State {
-    /// The answer to a watch, or to a call for the whole list.
+    /// Returns the body of the response to a watch, or to a request for the full list if `after` is `None`.
     fn page(&mut self, after: Option<u64>) -> Bytes {
-        // Versions of another time are answered with what holds now.
+        // A version from before the last resync or from another run is answered with the full list.
         let after = after.filter(|&after| after >= self.resync_version && after <= self.version);
         if let Some(page) = self.page_cache.get(&after) {
             return page.clone();
@@ -134,7 +136,7 @@
         page
     }
 
-    /// A proxy asks for news after a version: it holds that one.
+    /// Records that a proxy has applied a version, which its poll for changes after this version shows.
     fn acknowledge(&mut self, proxy: usize, after: u64) {
         let Some(version) = self.acknowledged_versions.get_mut(proxy).filter(|version| **version < after)
         else {
@@ -153,34 +155,34 @@
 
 struct Shared {
     state: Mutex<State>,
-    /// The present version.
+    /// The current version of the list.
     version: watch::Sender<u64>,
-    /// Told of every acknowledgement.
+    /// Notified of every acknowledgement.
     acknowledgements: watch::Sender<()>,
     traffic: Arc<Traffic>,
 }
 
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
-        // Whoever panicked with it left whole entries behind.
+        // A panic with the lock held leaves no entry half written, so the state is still usable.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// The stand-in, on a thread of its own until it is dropped.
+/// The stand-in for the discovery service. It runs on its own thread until it is dropped.
 pub struct Registry {
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
-    /// Its drop ends the thread.
+    /// Stops the thread when it is dropped.
     _stop: oneshot::Sender<()>,
 }
 
 impl Registry {
-    /// Starts with a list, for so many proxies.
+    /// Starts the stand-in with an initial list and one address for each of `proxy_count` proxies.
     ///
     /// # Errors
     ///
-    /// If an address can't be listened on or the thread can't be started.
+    /// Returns an error if it can't listen on an address or can't start the thread.
     pub async fn start(endpoints: Vec<Endpoint>, proxy_count: usize) -> io::Result<Self> {
         let index_by_name =
             endpoints.iter().enumerate().map(|(index, endpoint)| (endpoint.name.clone(), index)).collect();
@@ -211,7 +213,7 @@
             };
             LocalSet::new().block_on(&runtime, async {
                 let addresses = listen(&serving, proxy_count).await;
-                // Whoever started it may have gone; then `stopped` ends it.
+                // The receiver may have been dropped already; then `stopped` resolves at once.
                 let _ = started.send(addresses);
                 let _ = stopped.await;
             });
@@ -220,17 +222,17 @@
         Ok(Registry { shared, addresses, _stop: stop })
     }
 
-    /// Where each proxy asks.
+    /// Returns the address that each proxy polls, by the number of the proxy.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// What went over its connections, both ways.
+    /// Returns the traffic of all its connections, in both directions.
     pub fn traffic(&self) -> &Traffic {
         &self.shared.traffic
     }
 
-    /// Changes entries as one version; returns it.
+    /// Adds or replaces entries in one new version and returns this version.
     pub fn publish_change(&self, endpoints: Vec<Endpoint>) -> u64 {
         self.publish_version(|state| {
             for endpoint in endpoints {
@@ -245,22 +247,22 @@
         })
     }
 
-    /// Has every watch answered with the whole list, as a new version; returns it.
+    /// Publishes a new version that answers every watch with the full list, and returns this version.
     pub fn publish_resync(&self) -> u64 {
         self.publish_version(|state| state.resync_version = state.version)
     }
 
-    /// The present version.
+    /// Returns the current version of the list.
     pub fn version(&self) -> u64 {
         *self.shared.version.borrow()
     }
 
-    /// Size of the whole list as it is sent, in bytes.
+    /// Returns the encoded size of the full list in bytes.
     pub fn full_list_bytes(&self) -> usize {
         self.shared.state().page(None).len()
     }
 
-    /// Waits until all proxies hold a version, at most so long; how many do.
+    /// Waits until all proxies have acknowledged a version, for at most `limit`, and returns how many of them have.
     pub async fn wait_until_in_force(&self, version: u64, limit: Duration) -> usize {
         let mut acknowledgements = self.shared.acknowledgements.subscribe();
         let acknowledged_count = || {
@@ -270,12 +272,12 @@
         let all = async {
             while acknowledged_count() < self.addresses.len() && acknowledgements.changed().await.is_ok() {}
         };
-        // Whether all or not, the count tells.
+        // The count shows whether the wait ended by a timeout.
         let _ = timeout(limit, all).await;
         acknowledged_count()
     }
 
-    /// How the changes since the last call came into force.
+    /// Returns the propagation of the changes since the last call, and starts a new measurement.
     pub fn take_propagation(&self) -> Propagation {
         let state = &mut *self.shared.state();
         let (mut last_proxy_delays, mut incomplete_changes) = (histogram(), 0);
@@ -291,6 +293,7 @@
         Propagation { changes: changes.len(), incomplete_changes, delays, last_proxy_delays }
     }
 
+    /// Applies an update to the state in a new version, wakes the watches and returns this version.
     fn publish_version(&self, update: impl FnOnce(&mut State)) -> u64 {
         let version = {
             let state = &mut *self.shared.state();
@@ -310,7 +313,7 @@
     }
 }
 
-/// Listens for every proxy, each on an address of its own.
+/// Listens on an address of its own for each proxy, and returns the addresses.
 async fn listen(shared: &Arc<Shared>, proxy_count: usize) -> io::Result<Vec<SocketAddr>> {
     let mut addresses = Vec::new();
     for proxy in 0..proxy_count {
@@ -318,16 +321,16 @@
         addresses.push(listener.local_addr()?);
         let shared = shared.clone();
         spawn_local(async move {
-            // One that can't accept is out of descriptors, which was counted before the start: its proxy stays
-            // without a list, and the report says how many hold it.
+            // `accept` fails if the process is out of file descriptors, for which `Requirements::check` tests before
+            // the start. The proxy then gets no list, and the report says how many proxies hold the first list.
             while let Ok((stream, _)) = listener.accept().await {
-                // It only makes answers quicker.
+                // Only the latency depends on this option, so a failure is ignored.
                 let _ = stream.set_nodelay(true);
                 let shared = shared.clone();
                 spawn_local(async move {
                     let io = TokioIo::new(CountedStream::new(stream, shared.traffic.clone()));
                     let service = service_fn(|request| answer(shared.clone(), proxy, request));
-                    // Its proxy has gone or will call again.
+                    // After an error the proxy either reconnects or has ended.
                     let _ = http1::Builder::new().serve_connection(io, service).await;
                 });
             }
@@ -362,7 +365,7 @@
         let mut version = shared.version.subscribe();
         shared.state().acknowledge(proxy, after);
         shared.acknowledgements.send_replace(());
-        // If nothing comes in time, the answer says that there is nothing; a version of another time is over at once.
+        // After a timeout the response has no changes. The wait ends at once if `after` is not the current version.
         let _ = timeout(wait, version.wait_for(|version| *version != after)).await;
     }
     let page = shared.state().page(after);
@@ -373,7 +376,7 @@
 }
 
 impl Endpoint {
-    /// An entry that serves, started long ago.
+    /// Creates an entry for a serving backend that started long ago.
     pub fn serving(name: String, address: SocketAddr, zone: String, cell: u16) -> Self {
         Endpoint {
             name,
