--- a/crates/scale-test/src/real/backends.rs
+++ b/crates/scale-test/src/real/backends.rs
@@ -1,5 +1,7 @@
-//! Simulated backends: many listeners in one process that serve, are unresponsive, are gone or are warming up.
-//! One that is to call another does so as a client of the next proxy, with the time that is left.
+//! Simulated backends: many listeners in one process, each of which serves, warms up, is unresponsive or is stopped.
+//!
+//! A request may ask its backend to call further hops. The backend then acts as a client of the next proxy and passes
+//! on the time that remains until the deadline.
 
 use super::client::{Answer, Call, Client};
 use super::loopback;
@@ -21,53 +23,53 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// Connections that the system keeps waiting to be accepted.
+/// The backlog of a listener: connections that wait in the kernel to be accepted.
 const ACCEPT_QUEUE_LENGTH: u32 = 1024;
-/// So much of the time that is left is kept from the next hop, for the way back.
+/// The part of the remaining time that is not passed to the next hop but reserved for returning its response.
 const NEXT_HOP_MARGIN: Duration = Duration::from_millis(1);
 
-/// What a backend does.
+/// The state of a backend's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Answers.
+    /// Answers requests.
     Serving,
-    /// Keeps connections open and says nothing; new ones never come up.
+    /// Keeps connections open without responding, and new connections are never established.
     Unresponsive,
-    /// Its process is gone: connections are reset, new ones refused.
+    /// Has no process: open connections are reset and new ones are refused.
     Stopped,
 }
 
-/// What all of them have in common.
+/// The configuration that all backends share.
 pub struct BackendConfig {
-    /// Time that a warm one works on a call.
+    /// The service time of a warm backend.
     pub warm_service_time: Duration,
-    /// Time that one works at its start, which falls to that of a warm one.
+    /// The service time of a backend that has just started. It falls linearly to that of a warm one.
     pub cold_service_time: Duration,
-    /// How long that takes.
+    /// The time from the start of a backend until it is warm.
     pub warm_up: Duration,
-    /// A draining one may be sent to for so long after the change.
+    /// The time for which a backend may still receive requests after it began to drain.
     pub drain_deadline: Duration,
 }
 
-/// Where calls go on to.
+/// The addresses to which backends send calls for further hops.
 pub struct NextHops {
-    /// Through proxies.
+    /// Proxies, for calls that go through proxies.
     pub proxies: Vec<SocketAddr>,
-    /// Straight to backends.
+    /// Backends, for direct calls.
     pub backends: Vec<SocketAddr>,
 }
 
-/// An address that is still held is tried again so often.
+/// The number of retries, 10 ms apart, of a bind to an address that is still in use.
 const BIND_RETRIES: usize = 500;
 
-/// Counts over all backends.
+/// Counters over all backends.
 #[derive(Default)]
 pub struct Counts {
-    /// Calls that came through proxies.
+    /// Requests that came through proxies.
     pub calls: AtomicU64,
-    /// Those of them that came to a backend past its drain deadline.
+    /// Requests through proxies that reached a backend after its drain deadline.
     pub late_to_draining: AtomicU64,
-    /// Connections.
+    /// Accepted connections.
     pub connections: AtomicU64,
 }
 
@@ -79,9 +81,9 @@
     next_hop_index: AtomicU64,
 }
 
-/// One of them.
+/// A simulated backend.
 pub struct Backend {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     mode: watch::Sender<Mode>,
     timestamps: Mutex<Timestamps>,
@@ -93,20 +95,20 @@
     draining_since: Option<Instant>,
 }
 
-/// All of them; they end when it is dropped.
+/// The simulated backends of a run. They stop when this is dropped.
 pub struct Backends {
-    /// By number.
+    /// All backends, by number.
     pub all: Vec<Arc<Backend>>,
     common: Arc<Common>,
     tasks: JoinSet<()>,
 }
 
 impl Backends {
-    /// Starts so many, warm.
+    /// Starts `count` warm backends.
     ///
     /// # Errors
     ///
-    /// If an address can't be listened on.
+    /// Returns an error if an address can't be listened on.
     pub fn start(count: usize, config: BackendConfig) -> io::Result<Self> {
         let common = Common {
             config,
@@ -130,18 +132,18 @@
         Ok(Backends { all, common, tasks })
     }
 
-    /// Tells them where calls go on to; holds from the first time on.
+    /// Sets the addresses for calls to further hops. Only the first call has an effect.
     pub fn set_next_hops(&self, next_hops: NextHops) {
-        // A second time changes nothing, as said.
+        // `set` fails if the addresses were set before, and leaves them unchanged.
         let _ = self.common.next_hops.set(next_hops);
     }
 
-    /// What has come.
+    /// Returns the counters over all backends.
     pub fn counts(&self) -> &Counts {
         &self.common.counts
     }
 
-    /// How many run.
+    /// Returns the number of running backend tasks.
     pub fn running(&self) -> usize {
         self.tasks.len()
     }
@@ -154,11 +156,12 @@
     socket.listen(queue)
 }
 
-/// What stands at a backend's address.
+/// The listening socket at a backend's address.
 enum ListenerState {
     Open(TcpListener),
-    /// A listener whose queue of one is full, by a connection that nobody takes: the system drops what else comes.
-    /// If another client has the place, the task waits in vain and is ended with the rest.
+    /// A listener that accepts nothing and whose backlog of one is filled by a connection of this program, so that the
+    /// kernel drops all further connection attempts. If another client takes the place in the backlog first, the task
+    /// of this connection waits until it is aborted with the others.
     Blocked {
         _listener: TcpListener,
         _connection: JoinSet<()>,
@@ -167,8 +170,9 @@
 }
 
 impl ListenerState {
-    /// The state for a mode. One whose address can't be had is shut, which the log says. A process that is just being
-    /// started holds all that this one had open for a moment, an old listener too: that is waited out.
+    /// Returns the listener state for a mode. If the address can't be bound, the state is `Closed` and the error is
+    /// logged. The bind is retried while the address is in use, because a child process that is just being started
+    /// briefly inherits all descriptors of this process, the old listener among them.
     async fn for_mode(mode: Mode, address: SocketAddr) -> Self {
         let mut listener_state = ListenerState::try_for_mode(mode, address);
         for _ in 0..BIND_RETRIES {
@@ -179,7 +183,7 @@
             listener_state = ListenerState::try_for_mode(mode, address);
         }
         listener_state.unwrap_or_else(|e| {
-            tracing::warn!("{address}: {e}");
+            tracing::warn!("backend {address}: can't listen, connections will be refused: {e}");
             ListenerState::Closed
         })
     }
@@ -208,18 +212,18 @@
 }
 
 impl Backend {
-    /// Changes what it does.
+    /// Changes the mode of the backend.
     pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
-    /// It is a new process from now on: cold.
+    /// Makes the backend count as a new, cold process from now on.
     pub fn restart(&self) {
         let mut timestamps = self.timestamps.lock().unwrap_or_else(PoisonError::into_inner);
         *timestamps = Timestamps { started_at: Some(Instant::now()), draining_since: None };
     }
 
-    /// The list says from now on that it drains.
+    /// Records that the endpoint list marks the backend as draining from now on.
     pub fn drain(&self) {
         self.timestamps.lock().unwrap_or_else(PoisonError::into_inner).draining_since = Some(Instant::now());
     }
@@ -232,7 +236,7 @@
                     if changed.is_err() {
                         return;
                     }
-                    // The old one has to let go of the address first.
+                    // The old listener must release the address before the new one binds to it.
                     drop(std::mem::replace(&mut listener_state, ListenerState::Closed));
                     let mode = *mode.borrow_and_update();
                     listener_state = ListenerState::for_mode(mode, self.address).await;
@@ -242,7 +246,7 @@
                         common.counts.connections.fetch_add(1, Relaxed);
                         tokio::spawn(self.clone().connection(stream, common.clone()));
                     }
-                    // Descriptors, which come free again.
+                    // The process is out of file descriptors; retry, because others will be closed.
                     Err(_) => sleep(Duration::from_millis(10)).await,
                 }
             }
@@ -250,13 +254,14 @@
     }
 
     async fn connection(self: Arc<Self>, stream: TcpStream, common: Arc<Common>) {
-        // The first only makes answers quicker; by the second its end is a reset, as when a process is gone.
+        // TCP_NODELAY only reduces latency. With a linger time of zero the close sends a reset, as the end of a
+        // process does.
         let _ = (stream.set_nodelay(true), stream.set_zero_linger());
         let mut mode = self.mode.subscribe();
         let service = service_fn(|request| self.answer(request, &common));
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::select! {
-            // Its client has gone, as clients may.
+            // The client closed the connection.
             _ = connection => {}
             _ = mode.wait_for(|mode| *mode == Mode::Stopped) => {}
         }
@@ -286,7 +291,7 @@
                     .await
             }
         };
-        // One that is unresponsive answers once it is heard again, if its client still waits.
+        // An unresponsive backend responds once its mode changes, if the client still waits.
         let mut mode = self.mode.subscribe();
         let _ = mode.wait_for(|mode| *mode != Mode::Unresponsive).await;
         let mut reply = Response::new(Full::from("served"));
@@ -294,7 +299,7 @@
         Ok(reply)
     }
 
-    /// How long it works on a call now.
+    /// Returns the current service time, which depends on the time since the start of the backend.
     fn service_time(&self, config: &BackendConfig) -> Duration {
         let started_at = self.timestamps.lock().unwrap_or_else(PoisonError::into_inner).started_at;
         let age = started_at.map_or(1.0, |started_at| {
@@ -304,7 +309,7 @@
             + config.cold_service_time.saturating_sub(config.warm_service_time).mul_f64((1.0 - age).max(0.0))
     }
 
-    /// The next hop's answer decides this one's.
+    /// Calls the next hop, and returns 200 if it was served and 500 otherwise.
     async fn call_next_hop(
         &self,
         headers: &HeaderMap,
@@ -337,17 +342,17 @@
     }
 }
 
-/// What a backend is asked to do with a request.
+/// The instructions to a backend in the query of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Query {
-    /// Calls that are to follow, one behind the other.
+    /// The number of further hops, each called by the one before.
     pub hops: usize,
-    /// Whether they go straight to backends.
+    /// Whether further hops are called directly instead of through proxies.
     pub direct: bool,
 }
 
 impl Query {
-    /// As it stands in a request; what can't be read counts as not there.
+    /// Parses the query of a request. Parameters that are missing or invalid count as 0.
     pub fn parse(text: &str) -> Self {
         let number = |name: &str| {
             let mut pairs = text.split('&').filter_map(|pair| pair.split_once('='));
@@ -359,7 +364,7 @@
         Query { hops: number("hops"), direct: number("direct") != 0 }
     }
 
-    /// The text.
+    /// Formats the instructions as the query of a request.
     pub fn text(self) -> String {
         format!("hops={}&direct={}", self.hops, u8::from(self.direct))
     }
--- a/crates/scale-test/src/real/client.rs
+++ b/crates/scale-test/src/real/client.rs
@@ -1,4 +1,4 @@
-//! Calls as clients make them: over connections that are kept, each within its time.
+//! An HTTP client that reuses idle connections and applies a time limit to each call.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -13,40 +13,40 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// The tenant of every call.
+/// The tenant of all calls.
 pub const TENANT: &str = "scale";
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// Served.
+    /// Answered with status 200.
     Served,
-    /// Rejected; a retry is harmless.
+    /// Rejected with 429 or 503, so that a retry is safe.
     Rejected,
-    /// Failed.
+    /// Answered with another status, or ended by an error.
     Failed,
-    /// No complete answer in time.
+    /// Got no complete response within the time limit.
     TimedOut,
 }
 
-/// What is called.
+/// A call to make.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Name of its class.
+    /// The name of its request class.
     pub class: String,
-    /// Whether it may be repeated without a key.
+    /// The HTTP method: an idempotent one for calls that may be repeated without an idempotency key.
     pub method: hyper::Method,
-    /// The key by which repeats are dropped, where its class has one.
+    /// Whether the call carries an idempotency key, by which repeats are dropped.
     pub has_idempotency_key: bool,
-    /// What the backends are told, as a query.
+    /// The query, which holds the instructions to the backends.
     pub query: String,
-    /// Its time.
+    /// The time limit for the whole call.
     pub time_limit: Duration,
 }
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// Connections and the ids of requests.
+/// A pool of idle connections and a generator of request ids.
 #[derive(Default)]
 pub struct Client {
     idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
@@ -54,17 +54,17 @@
 }
 
 impl Client {
-    /// Ids begin at a number, so that those of several clients differ.
+    /// Creates a client whose request ids start at `first_id`, so that the ids of several clients differ.
     pub fn new(first_id: u64) -> Self {
         Client { next_id: AtomicU64::new(first_id), ..Client::default() }
     }
 
-    /// Makes a call and waits for its answer.
+    /// Makes a call and waits for its outcome.
     pub async fn call(&self, address: SocketAddr, call: &Call) -> Answer {
         timeout(call.time_limit, self.attempt(address, call)).await.unwrap_or(Answer::TimedOut)
     }
 
-    /// Closes the connections that are idle.
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         self.idle().clear();
     }
@@ -83,7 +83,8 @@
     async fn attempt(&self, address: SocketAddr, call: &Call) -> Answer {
         let id = self.next_id.fetch_add(1, Relaxed);
         while let Some(connection) = self.take_idle(address) {
-            // One that the other side closed between requests, which it may: the request was not read.
+            // The server may close an idle connection at any time. The request was then not read, so it is sent again
+            // on another connection.
             if let Ok(answer) = self.send(connection, address, call, id).await {
                 return answer;
             }
@@ -92,7 +93,8 @@
         self.send(connection, address, call, id).await.unwrap_or(Answer::Failed)
     }
 
-    /// An error where the connection was at its end before the request was read.
+    /// Sends the request and reads the response. Returns an error if the connection was closed before the request was
+    /// read.
     async fn send(
         &self,
         mut connection: Connection,
@@ -138,7 +140,7 @@
     stream.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
     tokio::spawn(async move {
-        // Its end shows at the sender.
+        // The sender reports the error if the connection ends.
         let _ = connection.await;
     });
     Ok(sender)
