--- a/crates/scale-test/src/real/children.rs
+++ b/crates/scale-test/src/real/children.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: real proxies and hosts of simulated ones. None outlives it.
+//! The child processes of a run: real proxies and hosts of simulated proxies. None of them outlives the run.
 
 use super::simulated_proxies::{Activity, HostConfig};
 use anyhow::{Context, anyhow, bail};
@@ -11,37 +11,38 @@
 use tokio::process::{Child, ChildStderr, ChildStdin, ChildStdout, Command};
 use tokio::time::timeout;
 
-/// No process takes longer than this to say what it must.
+/// The time limit for a child process to start listening or to answer a request for its activity.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A real proxy.
+/// The process of a real proxy.
 pub struct ProxyProcess {
     child: Child,
-    /// Its process.
+    /// Its process id.
     pub pid: u32,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
-    /// It is not read any more, but a log without an end would be an error to write to.
+    /// The log is not read any more, but its pipe stays open, because writes to a closed pipe would fail.
     _log: Lines<BufReader<ChildStderr>>,
 }
 
-/// A process of simulated proxies.
+/// A process that hosts simulated proxies.
 pub struct SimulatedHost {
     child: Child,
-    /// Its process.
+    /// Its process id.
     pub pid: u32,
-    /// How many proxies it holds.
+    /// The number of its simulated proxies.
     pub proxy_count: usize,
     input: ChildStdin,
     output: Lines<BufReader<ChildStdout>>,
 }
 
-/// All of them. Dropped, they are killed; after [`stop`](Self::stop) none is left, not even as a dead entry.
+/// All child processes of a run. They are killed when this is dropped; [`stop`](Self::stop) also waits for them, so that
+/// no zombie process remains.
 #[derive(Default)]
 pub struct Children {
-    /// Real proxies.
+    /// The processes of real proxies.
     pub proxies: Vec<ProxyProcess>,
-    /// Processes of simulated ones.
+    /// The processes that host simulated proxies.
     pub hosts: Vec<SimulatedHost>,
 }
 
@@ -50,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// If it can't be started, ends, or does not listen in time.
+    /// Returns an error if the proxy can't be started, exits, or does not listen in time.
     pub async fn start_proxy(&mut self, program: &Path, config: &Value, folder: &Path) -> anyhow::Result<()> {
         let name = config["name"].as_str().unwrap_or("proxy");
         let folder = folder.join(name);
@@ -69,10 +70,10 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("{}: does not start", program.display()))?;
-        let pid = child.id().ok_or_else(|| anyhow!("{name}: ended at once"))?;
+            .with_context(|| format!("{}: can't be started", program.display()))?;
+        let pid = child.id().ok_or_else(|| anyhow!("{name}: exited at once"))?;
         tracing::info!("process {pid}: real proxy {name}");
-        let log = child.stderr.take().ok_or_else(|| anyhow!("{name}: has no log"))?;
+        let log = child.stderr.take().ok_or_else(|| anyhow!("{name}: its standard error is not piped"))?;
         let mut log = BufReader::new(log).lines();
         let mut last_line = String::new();
         let address = timeout(RESPONSE_TIMEOUT, async {
@@ -84,11 +85,11 @@
             }
             anyhow::Ok(None)
         });
-        let listening = address.await.unwrap_or_else(|_| bail!("{name}: does not listen in time"));
+        let listening = address.await.unwrap_or_else(|_| bail!("{name}: did not start to listen in time"));
         let address = match listening {
             Ok(Some(address)) => address,
             other => {
-                // So that nothing of it is left.
+                // Also waits for the process, so that no zombie remains.
                 let _ = child.kill().await;
                 return Err(other
                     .err()
@@ -99,11 +100,11 @@
         Ok(())
     }
 
-    /// Starts a process of simulated proxies by this program's own hidden command.
+    /// Starts a process that hosts simulated proxies, by the hidden command of this program.
     ///
     /// # Errors
     ///
-    /// If it can't be started or does not take its configuration.
+    /// Returns an error if the process can't be started or does not read its configuration.
     pub async fn start_host(&mut self, program: &Path, config: &HostConfig) -> anyhow::Result<()> {
         let mut child = Command::new(program)
             .arg(super::HOST_COMMAND)
@@ -111,49 +112,51 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .with_context(|| format!("{}: does not start", program.display()))?;
+            .with_context(|| format!("{}: can't be started", program.display()))?;
         let (pid, pipes) = (child.id(), child.stdin.take().zip(child.stdout.take()));
-        let Some((pid, (input, output))) = pid.zip(pipes) else { bail!("simulated proxies: ended at once") };
+        let Some((pid, (input, output))) = pid.zip(pipes) else {
+            bail!("simulated proxies: exited at once, or their pipes are missing")
+        };
         tracing::info!("process {pid}: {} simulated proxies", config.proxies.len());
         let output = BufReader::new(output).lines();
         self.hosts.push(SimulatedHost { child, pid, proxy_count: config.proxies.len(), input, output });
-        let Some(host) = self.hosts.last_mut() else { unreachable!("it was pushed") };
+        let Some(host) = self.hosts.last_mut() else { unreachable!("the host was just pushed") };
         let mut line = serde_json::to_vec(config)?;
         line.push(b'\n');
-        host.input.write_all(&line).await.context("simulated proxies: ended at their start")?;
+        host.input.write_all(&line).await.context("simulated proxies: exited while being started")?;
         Ok(())
     }
 
-    /// What the simulated proxies did since they were asked last, all together.
+    /// Returns the total activity of all simulated proxies since the last call.
     ///
     /// # Errors
     ///
-    /// If one of their processes has ended or does not answer in time.
+    /// Returns an error if one of their processes has exited or does not answer in time.
     pub async fn take_activity(&mut self) -> anyhow::Result<Activity> {
         for host in &mut self.hosts {
-            host.input.write_all(b"\n").await.context("simulated proxies: ended early")?;
+            host.input.write_all(b"\n").await.context("simulated proxies: exited early")?;
         }
         let mut total = Activity::default();
         for host in &mut self.hosts {
             let line = timeout(RESPONSE_TIMEOUT, host.output.next_line())
                 .await
-                .context("simulated proxies: unresponsive")??;
-            let line = line.ok_or_else(|| anyhow!("simulated proxies: ended early"))?;
+                .context("simulated proxies: no answer in time")??;
+            let line = line.ok_or_else(|| anyhow!("simulated proxies: exited early"))?;
             total = total.plus(serde_json::from_str(&line)?);
         }
         Ok(total)
     }
 
-    /// Ends them all and waits until they are gone.
+    /// Kills all child processes and waits until they have exited.
     pub async fn stop(&mut self) {
         let proxies = self.proxies.drain(..).map(|p| p.child);
         let mut children: Vec<Child> = proxies.chain(self.hosts.drain(..).map(|h| h.child)).collect();
         for child in &mut children {
-            // One that has ended needs no kill.
+            // Fails if the process has already exited, which is fine.
             let _ = child.start_kill();
         }
         for child in &mut children {
-            // Killed, it ends whatever it does; the wait takes its entry away.
+            // A killed process always exits; the wait removes its entry from the process table.
             let _ = child.wait().await;
         }
     }
--- a/crates/scale-test/src/real/mod.rs
+++ b/crates/scale-test/src/real/mod.rs
@@ -1,4 +1,4 @@
-//! The real part: processes, watches and backends on loopback sockets, measured.
+//! The real part of the scale test: it measures processes, watches and backends on loopback sockets.
 
 pub mod backends;
 pub mod children;
@@ -21,43 +21,43 @@
 use std::time::Duration;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The hidden command that hosts simulated proxies.
+/// The hidden subcommand that hosts simulated proxies.
 pub const HOST_COMMAND: &str = "hollow-proxies";
-/// Longest time that a histogram tells from longer ones, in microseconds.
+/// The upper bound of the histograms in microseconds. Longer times are recorded as this one.
 const MAX_RECORDED_US: u64 = 120_000_000;
 
-/// How the real part is started.
+/// The options of the real part.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Feeds the random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// The real proxy's program.
+    /// The path of the proxy's executable.
     pub proxy_program: PathBuf,
-    /// This program, which hosts the simulated proxies.
+    /// The path of this executable, which hosts the simulated proxies.
     pub program: PathBuf,
-    /// Whether simulated proxies fill a size up.
+    /// Whether simulated proxies are added to the real ones up to the size.
     pub with_simulated: bool,
-    /// Time for all sizes.
+    /// The time limit for all sizes together.
     pub run_timeout: Duration,
 }
 
-/// Whether the scenario's limits and the machine's allow a run.
+/// Checks the requirements of all sizes against the limits of the scenario and of the machine.
 ///
 /// # Errors
 ///
-/// A line that names the limit and the need.
+/// Returns a one-line error that names the limit and the required number.
 pub fn check(scenario: &Scenario, with_simulated: bool) -> anyhow::Result<()> {
     scenario.sizes.iter().try_for_each(|&size| {
         requirements::Requirements::for_size(scenario, size, with_simulated).check(scenario, size)
     })
 }
 
-/// Plays the sizes one after the other. No process that it started is left when it returns, however it ends.
+/// Runs the sizes one after the other. When it returns, with success or not, all processes that it started have exited.
 ///
 /// # Errors
 ///
-/// If a size needs more than there is, the fleet can't be started, one of its processes ends early, the time is over,
-/// or a signal comes.
+/// Returns an error if a size exceeds a limit, the fleet can't be started, one of its processes exits early, the time
+/// limit is over, or SIGINT or SIGTERM is received.
 pub async fn run(scenario: &Scenario, options: &Options) -> anyhow::Result<Vec<Size>> {
     check(scenario, options.with_simulated)?;
     let (mut interrupt, mut terminate) = (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?);
@@ -85,7 +85,7 @@
         children.stop().await;
         let limit = scenario.limits.memory_gb * 1000.0;
         if result.total_resident_mb > limit {
-            bail!("limits.memory_gb: size {size} holds {:.0} MB", result.total_resident_mb);
+            bail!("limits.memory_gb: size {size} uses {:.0} MB", result.total_resident_mb);
         }
         sizes.push(result);
     }
@@ -94,12 +94,12 @@
 
 fn histogram() -> Histogram<u64> {
     let Ok(histogram) = Histogram::new_with_max(MAX_RECORDED_US, 3) else {
-        unreachable!("the bounds are constants that are allowed")
+        unreachable!("the bounds are valid constants")
     };
     histogram
 }
 
-/// The loopback address of a number in one of the run's nets.
+/// Returns the loopback address for a number in one of the subnets of the run, 127.`net`.0.0/16.
 fn loopback(net: u8, number: usize) -> Ipv4Addr {
     let [.., high, low] = (number as u32 + 1).to_be_bytes();
     Ipv4Addr::new(127, net, high, low)
--- a/crates/scale-test/src/real/requirements.rs
+++ b/crates/scale-test/src/real/requirements.rs
@@ -1,46 +1,47 @@
-//! What a size of the real part needs of the machine.
+//! The resources that a size of the real part requires.
 
 use crate::scenario::Scenario;
 
-/// What a size needs of the machine.
+/// The processes and file descriptors that a size requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Requirements {
-    /// Real proxies.
+    /// The number of real proxies.
     pub real: usize,
-    /// Proxies of both kinds, each with its watch.
+    /// The number of real and simulated proxies, each of which has a watch.
     pub watches: usize,
-    /// Processes of simulated ones.
+    /// The number of processes that host simulated proxies.
     pub hosts: usize,
-    /// Descriptors of this process.
+    /// The number of file descriptors of this process.
     pub descriptors: usize,
 }
 
-/// Descriptors of this process beside connections: standard streams, reactors, pipes.
+/// File descriptors of this process that are not connections: standard streams, reactors, pipes.
 const RESERVED_DESCRIPTORS: usize = 256;
-/// Connections of clients and to backends that a real proxy has at this process, at the most that is seen.
+/// The maximum number of connections between a real proxy and the clients and backends of this process.
 const CONNECTIONS_PER_PROXY: usize = 64;
-/// Descriptors that a real proxy may hold, by its configuration.
+/// The limit of sockets in the configuration of a real proxy.
 pub const PROXY_SOCKETS: usize = 1024;
-/// Memory that a real proxy may use, by its configuration, in MB.
+/// The memory limit in the configuration of a real proxy, in MB.
 pub const PROXY_MEMORY_MB: usize = 192;
 
 impl Requirements {
-    /// Of a size, with or without its simulated proxies.
+    /// Returns the requirements of a size, with or without its simulated proxies.
     pub fn for_size(scenario: &Scenario, size: usize, with_simulated: bool) -> Self {
         let real = scenario.run.real_processes.min(size);
         let watches = if with_simulated { size } else { real };
         let hosts = (watches - real).div_ceil(scenario.real.simulated_per_process);
-        // A backend; for each proxy a listener of discovery and a watch; two pipes for each process.
+        // One listener per backend; one listener of the discovery stand-in and one watch connection per proxy; two
+        // pipes per process.
         let descriptors =
             size + 2 * watches + (CONNECTIONS_PER_PROXY + 2) * real + 2 * hosts + RESERVED_DESCRIPTORS;
         Requirements { real, watches, hosts, descriptors }
     }
 
-    /// Whether the machine and the scenario's limits allow it; the limits are left as they are.
+    /// Checks the requirements against the limits of the scenario and of the machine. It does not change the limits.
     ///
     /// # Errors
     ///
-    /// A line that names the limit and the need.
+    /// Returns a one-line error that names the limit and the required number.
     pub fn check(&self, scenario: &Scenario, size: usize) -> anyhow::Result<()> {
         let processes = 1 + self.real + self.hosts;
         if processes > scenario.limits.processes {
--- a/crates/scale-test/src/real/usage.rs
+++ b/crates/scale-test/src/real/usage.rs
@@ -1,27 +1,27 @@
-//! Processor time and memory of processes, from /proc.
+//! CPU time and memory of processes, read from /proc.
 
 use procfs::process::Process;
 use std::time::Duration;
 
-/// What a process has used.
+/// The CPU time and memory of a process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Usage {
-    /// Processor time of its threads that live.
+    /// The CPU time of its living threads.
     pub cpu_time: Duration,
-    /// Memory that it holds now, in bytes.
+    /// The current resident memory in bytes.
     pub resident_bytes: u64,
 }
 
-/// Of a process.
+/// Returns the usage of a process.
 ///
 /// # Errors
 ///
-/// If it is gone or /proc can't be read.
+/// Returns an error if the process has exited or /proc can't be read.
 pub fn of_process(pid: u32) -> anyhow::Result<Usage> {
     let process = Process::new(i32::try_from(pid)?)?;
     let mut cpu_time = Duration::ZERO;
     for task in process.tasks()? {
-        // A thread that has just ended counts no more.
+        // A thread that has just exited is not counted.
         let Ok(task) = task else { continue };
         cpu_time += task.schedstat().map_or(Duration::ZERO, |s| Duration::from_nanos(s.sum_exec_runtime));
     }
@@ -29,11 +29,11 @@
     Ok(Usage { cpu_time, resident_bytes })
 }
 
-/// Of this process's thread of a name.
+/// Returns the CPU time of all threads of this process that have the given name.
 ///
 /// # Errors
 ///
-/// If /proc can't be read.
+/// Returns an error if /proc can't be read.
 pub fn of_thread(name: &str) -> anyhow::Result<Duration> {
     let mut total = Duration::ZERO;
     for task in Process::myself()?.tasks()? {
@@ -45,7 +45,7 @@
     Ok(total)
 }
 
-/// How busy the machine was lately: processes that wanted to run over the last minute.
+/// Returns the load average of the machine over the last minute, or NaN if it can't be read.
 pub fn load_average() -> f64 {
     procfs::Current::current().map_or(f64::NAN, |load: procfs::LoadAverage| f64::from(load.one))
 }
