--- a/crates/scale-test/src/real/fleet.rs
+++ b/crates/scale-test/src/real/fleet.rs
@@ -1,4 +1,4 @@
-//! One size of the run: the fleet is started, measured phase by phase, and ended.
+//! One size of the run: starts the fleet and measures it phase by phase.
 
 use super::backends::{BackendConfig, Backends, Mode, NextHops};
 use super::children::Children;
@@ -23,16 +23,16 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// All proxies hold the first list by then.
+/// The time within which all proxies must have the first endpoint list.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(30);
-/// The protocol page allows so much more at every time limit.
+/// The slack that the protocol page grants on every time limit.
 const TIME_LIMIT_SLACK: Duration = Duration::from_millis(50);
-/// Longest load before the first that is measured.
+/// The longest duration of the load before the first measured phase with load.
 const MAX_WARM_UP: Duration = Duration::from_secs(3);
-/// Backends that calls straight to them go to, for each real proxy: as many as the proxy's subset at the least.
+/// The number of backends per real proxy that direct calls go to: the minimum size of a proxy's subset.
 const DIRECT_BACKENDS_PER_PROXY: usize = 5;
 
-/// A fleet that runs.
+/// A running fleet.
 struct Fleet<'a> {
     scenario: &'a Scenario,
     size: usize,
@@ -40,18 +40,18 @@
     backends: Backends,
     load: Arc<Load>,
     children: &'a mut Children,
-    /// Backends as the list has them, by number.
+    /// The entries of the endpoint list, by the number of the backend.
     endpoints: Vec<Endpoint>,
     rng: StdRng,
-    /// Seeds of the loads, apart, so that a load is the same whatever else was drawn.
+    /// Draws the seeds of the loads. It is separate from `rng`, so that a load does not depend on other random draws.
     load_rng: StdRng,
 }
 
-/// Plays a size. The processes that it starts stay in `children`, which ends them.
+/// Runs a size and returns its measurements. The processes that it starts stay in `children`, which stops them.
 ///
 /// # Errors
 ///
-/// If the fleet can't be started or a process of it ends early.
+/// Returns an error if the fleet can't be started or one of its processes exits early.
 pub async fn run_size(
     scenario: &Scenario,
     options: &Options,
@@ -67,7 +67,7 @@
     let holding = registry.wait_until_in_force(1, FIRST_LIST_TIMEOUT).await;
     if holding < need.watches {
         tracing::warn!(
-            "size {size}: only {holding} proxies hold the first list after {FIRST_LIST_TIMEOUT:?}"
+            "size {size}: only {holding} proxies have the first endpoint list after {FIRST_LIST_TIMEOUT:?}"
         );
     }
     let start_s = begun.elapsed().as_secs_f64();
@@ -98,7 +98,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// The settings' classes as a client sees them; queries are most of the calls.
+/// Returns the request classes of the settings as a client uses them. The first class gets most of the calls.
 fn classes(scenario: &Scenario) -> Vec<Class> {
     let list = scenario.settings.get("classes").and_then(Value::as_array).cloned().unwrap_or_default();
     let number_setting = |class: &Value, key: &str| class[key].as_f64().unwrap_or(0.0);
@@ -230,17 +230,18 @@
         Ok(phases)
     }
 
-    /// Calls that are not measured, so that connections stand and limits are learned.
+    /// Runs a load that is not measured, so that connections are established and the proxies adapt their concurrency
+    /// limits.
     async fn warm_up(&mut self) -> anyhow::Result<()> {
         let plan = &self.scenario.real;
         let rate = plan.hops_per_s_per_proxy * self.children.proxies.len() as f64;
         let time = Duration::from_secs_f64(plan.phase_s).min(MAX_WARM_UP);
         let (load, seed) = (self.load.clone(), self.load_rng.random());
         let calls = tokio::spawn(async move { load.run(seed, rate, time, true).await });
-        calls.await.context("the load's generator").map(drop)
+        calls.await.context("load generator").map(drop)
     }
 
-    /// Measures what happens, under a load.
+    /// Runs an event under a load and measures the fleet.
     async fn run_phase(
         &mut self,
         name: &str,
@@ -260,8 +261,9 @@
             (self.load.clone(), self.load_rng.random(), matches!(phase_load, PhaseLoad::Compared));
         let calls = tokio::spawn(async move { load.run(seed, rate, time, direct).await });
         self.run_event(event, Instant::now() + time).await;
-        let metrics = calls.await.context("the load's generator")?;
-        // What the last change still has to do; the term counts from the change.
+        let metrics = calls.await.context("load generator")?;
+        // Waits until the last change is in force everywhere. The limit of the target counts from the change itself, so
+        // waiting this long after the phase is enough.
         let limit = Duration::from_secs_f64(self.scenario.target.in_force_within_s);
         let version = self.registry.version();
         self.registry.wait_until_in_force(version, limit).await;
@@ -364,7 +366,7 @@
         self.registry.publish_change(numbers.iter().map(|&n| self.endpoints[n].clone()).collect());
     }
 
-    /// Backends drain and come back as new processes, cold, one change after the other.
+    /// Drains backends and restarts them as new, cold processes, one change after the other, until `end`.
     async fn run_changes(&mut self, end: Instant) {
         let rate = self.scenario.changes_per_s();
         let max_draining = ((self.size as f64 * self.scenario.real.draining_share) as usize).max(1);
@@ -386,7 +388,7 @@
             next += Duration::from_secs_f64(1.0 / rate);
         }
         sleep_until(end).await;
-        // So that the next phase begins with all of them.
+        // The next phase starts with all backends serving.
         for n in draining {
             self.restart(n);
         }
@@ -399,30 +401,30 @@
     }
 }
 
-/// Which calls a phase has.
+/// The load of a phase.
 #[derive(Clone, Copy)]
 enum PhaseLoad {
     None,
     Proxied,
-    /// And as many straight to backends.
+    /// Calls through proxies and about as many directly to backends.
     Compared,
 }
 
-/// What happens in a phase.
+/// The event of a phase.
 enum PhaseEvent<'a> {
     None,
     Changes,
-    /// Backends are gone, and taken off the list when that is noticed.
+    /// Backends stop, and are removed from the list when discovery notices it.
     BackendsLost(&'a [usize]),
-    /// They are back as new processes, and listed again when that is noticed.
+    /// Backends restart as new processes, and are listed again when discovery notices it.
     BackendsRestored(&'a [usize]),
-    /// Backends do something else, which no list says.
+    /// The mode of backends changes without a change of the list.
     SetMode(&'a [usize], Mode),
-    /// Everybody is sent the full list.
+    /// All proxies receive the full list.
     Resync,
 }
 
-/// What has been used and counted at an instant.
+/// A snapshot of resource usage and counters.
 struct Readings {
     at: Instant,
     proxies: Vec<usage::Usage>,
@@ -436,7 +438,7 @@
 impl Readings {
     fn take(fleet: &Fleet<'_>) -> anyhow::Result<Self> {
         let usages = |name: &str, pids: Vec<u32>| -> anyhow::Result<Vec<usage::Usage>> {
-            let of = |pid| usage::of_process(pid).with_context(|| format!("{name}: ended early"));
+            let of = |pid| usage::of_process(pid).with_context(|| format!("{name}: exited early"));
             pids.into_iter().map(of).collect()
         };
         let counts = fleet.backends.counts();
@@ -452,7 +454,7 @@
     }
 }
 
-/// What the proxies add to calls of each depth, against straight ones of the same phase.
+/// Returns the latency that the proxies add to calls of each depth, compared with direct calls of the same phase.
 fn added_latency(metrics: &LoadMetrics) -> Vec<Added> {
     let mut depths = BTreeMap::new();
     for ((depth, direct), times) in &metrics.times {
--- a/crates/scale-test/src/real/load.rs
+++ b/crates/scale-test/src/real/load.rs
@@ -1,4 +1,5 @@
-//! Calls at random instants at a given rate, whatever becomes of them, and what becomes of them.
+//! An open-loop load generator: it sends calls at random times at a given rate, regardless of the outcome of earlier
+//! calls, and records the outcomes.
 
 use super::backends::Query;
 use super::client::{Answer, Call, Client};
@@ -14,63 +15,63 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-/// A class of calls.
+/// A request class.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// Its call, without the hops.
+    /// The call that is sent, without the query for further hops.
     pub call: Call,
-    /// Share of all calls.
+    /// The share of calls of this class, relative to the other classes.
     pub call_share: f64,
-    /// Worth of an answer in time.
+    /// The worth of a response within the latency objective.
     pub priority_weight: f64,
-    /// In time is within this.
+    /// The latency objective.
     pub latency_objective: Duration,
-    /// Share of the worth that a later answer still has.
+    /// The fraction of the worth that a response after the latency objective still has.
     pub late_worth: f64,
 }
 
-/// Who calls whom.
+/// The configuration of the load.
 pub struct Load {
-    /// Keeps the connections.
+    /// The client, which keeps the connections.
     pub client: Arc<Client>,
-    /// What is called.
+    /// The request classes.
     pub classes: Vec<Class>,
-    /// Calls one behind the other, of which each call draws one.
+    /// The numbers of chained hops, of which each call draws one at random.
     pub depths: Vec<usize>,
-    /// Through proxies.
+    /// The proxies, for calls through proxies.
     pub proxies: Vec<SocketAddr>,
-    /// Straight to backends.
+    /// The backends, for direct calls.
     pub backends: Vec<SocketAddr>,
-    /// A call that is sent so much after its instant is late.
+    /// A call counts as late if it is sent more than this after its scheduled time.
     pub late_after: Duration,
 }
 
-/// What became of calls.
+/// The outcomes of the calls of a load.
 #[derive(Debug, Clone)]
 pub struct LoadMetrics {
-    /// Calls of clients.
+    /// Calls through proxies.
     pub asked: u64,
-    /// Those served.
+    /// Served calls.
     pub served: u64,
-    /// Rejected.
+    /// Rejected calls.
     pub refused: u64,
-    /// Failed.
+    /// Failed calls.
     pub failed: u64,
-    /// Without an answer in time.
+    /// Calls without a complete response within the time limit.
     pub timed_out: u64,
-    /// Those asked and served, by depth.
+    /// Calls and served calls, by depth.
     pub by_depth: BTreeMap<usize, (u64, u64)>,
-    /// Hops that they were to make.
+    /// The sum of the depths of all calls, which is the number of hops to be made.
     pub hops: u64,
-    /// All calls that were sent, straight ones too.
+    /// All calls that were sent, including direct ones.
     pub sent: u64,
-    /// Sent late: the machine does not carry the load's generator.
+    /// Calls that were sent late, which shows that the machine is too slow for the load generator.
     pub late: u64,
-    /// Worth of all of them.
+    /// The worth of all calls.
     pub worth: f64,
-    /// Worth of the answers.
+    /// The worth of the responses.
     pub worth_earned: f64,
-    /// Times to an answer that served, in microseconds, by depth and whether straight to backends.
+    /// The latencies of served calls in microseconds, by depth and by whether the call was direct.
     pub times: BTreeMap<(usize, bool), Histogram<u64>>,
 }
 
@@ -83,9 +84,9 @@
 }
 
 impl Load {
-    /// Calls at so many hops a second for so long through proxies, and where told as many straight to backends, and
-    /// waits for all answers. Those through proxies and those straight ones are told apart in the times alone; the
-    /// counts are of those through proxies.
+    /// Sends calls through proxies at `hops_per_s` for `duration`, with `with_direct_calls` also about as many directly
+    /// to backends, and waits for all outcomes. Apart from `sent` and `late`, the counters include only the calls
+    /// through proxies; direct calls appear in `times` under their own keys.
     pub async fn run(
         self: &Arc<Self>,
         seed: u64,
@@ -97,7 +98,7 @@
         let mut metrics = LoadMetrics::new();
         let mean_depth = self.depths.iter().sum::<usize>() as f64 / self.depths.len().max(1) as f64;
         let rate = hops_per_s / mean_depth.max(1.0) * if with_direct_calls { 2.0 } else { 1.0 };
-        // A rate of 0 or less gives no gaps, and so no calls.
+        // No calls are sent at a rate of 0 or less.
         let Some(gaps) = Exp::new(rate).ok().filter(|_| rate > 0.0 && !self.classes.is_empty()) else {
             tokio::time::sleep(duration).await;
             return metrics;
@@ -127,7 +128,7 @@
             }
         }
         while let Some(completed) = calls.join_next().await {
-            // A task that panicked would be this program's fault, and its call is missed in the sum.
+            // A task fails only by a panic, which would be a fault of this program; its call is then not counted.
             if let Ok(completed) = completed {
                 metrics.add(&self.classes[completed.class], &completed);
             }
--- a/crates/scale-test/src/real/simulated_proxies.rs
+++ b/crates/scale-test/src/real/simulated_proxies.rs
@@ -1,5 +1,5 @@
-//! Simulated proxies: many to a process, each with its own balancer, its own watch on discovery and its timers, as
-//! a proxy has them, and no connections of clients or to backends.
+//! Simulated proxies, many per process. Like a real proxy, each has its own balancer, its own watch on the discovery
+//! service and its own timers, but it has no connections of clients or to backends.
 
 use foldhitch_balancer::Balancer;
 use foldhitch_balancer::api::{Action, BackendId, EndpointInfo, EndpointListKind, Event, Phase};
@@ -20,42 +20,42 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// A timer that comes later than this is late.
+/// A timer that fires later than this after its due time counts as late.
 const LATE_TIMER_THRESHOLD: Duration = Duration::from_millis(20);
 
-/// What a process of simulated proxies gets at its start, as one line.
+/// The configuration of a process that hosts simulated proxies, which it reads as one line of JSON.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HostConfig {
-    /// Its proxies.
+    /// The configurations of its proxies.
     pub proxies: Vec<SimulatedProxyConfig>,
 }
 
-/// The same for one of them.
+/// The configuration of a simulated proxy.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct SimulatedProxyConfig {
-    /// Its settings, as a real proxy's file has them.
+    /// The settings, in the format of a real proxy's configuration file.
     pub settings: serde_json::Value,
-    /// Feeds its random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Where it asks for the list.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
 }
 
-/// What the proxies of a process did since they were asked last.
+/// The activity of the simulated proxies of a process since the last report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Activity {
-    /// Timers that came due.
+    /// Timers that fired.
     pub wakes: u64,
-    /// Those that came more than 20 ms late: the machine does not carry the process.
+    /// Timers that fired more than 20 ms late, which shows that the machine is too slow for the process.
     pub late_wakes: u64,
-    /// Lists and changes handled.
+    /// Full lists and changes that were handled.
     pub lists: u64,
-    /// Lines for the log.
+    /// Warnings that a real proxy would log.
     pub notes: u64,
 }
 
 impl Activity {
-    /// Both together.
+    /// Returns the sum of two activities.
     pub fn plus(self, other: Activity) -> Activity {
         Activity {
             wakes: self.wakes + other.wakes,
@@ -68,7 +68,7 @@
 
 struct State {
     balancer: Balancer,
-    /// Backends that the list names: the balancer's number, and the start of one that drains.
+    /// The listed backends by name: the balancer's id, and for a draining backend its start time.
     listed: HashMap<String, (BackendId, Option<f64>)>,
     names: HashMap<BackendId, String>,
     ready_count: usize,
@@ -131,13 +131,14 @@
                 Action::PollEndpoints => {
                     self.poll_wanted.send_replace(true);
                 }
-                // The others are about requests and connections, of which there are none.
+                // The other actions concern requests and connections, which a simulated proxy does not have.
                 _ => {}
             }
         }
     }
 
-    /// The balancer's entry for a line of the list; the same rules as at the real proxy.
+    /// Returns the balancer's entry for an entry of the list, by the same rules as the real proxy. Returns `None` for
+    /// an unknown zone, unless the backend is deleted.
     fn endpoint_info(
         &self,
         state: &mut State,
@@ -200,7 +201,7 @@
             };
             let mut entries = Vec::with_capacity(endpoints.len());
             for endpoint in endpoints {
-                // A backend keeps its number from list to list.
+                // A backend keeps its id from one full list to the next.
                 if let Some((name, known)) = previous.as_ref().and_then(|b| b.get_key_value(&endpoint.name)) {
                     state.listed.insert(name.clone(), *known);
                 }
@@ -224,16 +225,17 @@
     }
 
     fn on_recovery(&self, outage: PollOutage) {
-        tracing::debug!("discovery: answered after {} failed polls", outage.failed_polls);
+        tracing::debug!("discovery: poll succeeded after {} failed polls", outage.failed_polls);
     }
 }
 
-/// The whole life of a process of simulated proxies: its configuration as the first line of its standard input,
-/// then for each further line what it did since the last one, and its end with the input's.
+/// Runs a process that hosts simulated proxies. It reads its configuration from the first line of standard input and
+/// answers each further line with the activity since the previous one, as a line of JSON on standard output. It ends
+/// when standard input is closed.
 ///
 /// # Errors
 ///
-/// If its configuration can't be read or its settings can't be used.
+/// Returns an error if the configuration can't be read or the settings are invalid.
 pub fn serve() -> anyhow::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let mut first = String::new();
