--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -45,8 +45,8 @@
         #[arg(long, value_enum, default_value_t = Part::All)]
         part: Part,
         /// In the real part, real proxies alone, with the whole size listed.
-        #[arg(long)]
-        without_hollow: bool,
+        #[arg(long = "without-hollow")]
+        without_simulated: bool,
     },
     /// Reads a scenario and says whether it and the machine's limits allow a run.
     Check {
@@ -58,7 +58,7 @@
     Soak(SoakArguments),
     /// Hosts hollow proxies for a run.
     #[command(name = real::HOST_COMMAND, hide = true)]
-    HollowProxies,
+    HostSimulatedProxies,
 }
 
 #[derive(Args)]
@@ -86,7 +86,8 @@
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Part {
     /// The decision modules of a fleet on virtual time, the same for a seed.
-    Hollow,
+    #[value(name = "hollow")]
+    Simulated,
     /// Processes on loopback sockets.
     Real,
     /// Both, the real part first.
@@ -98,7 +99,7 @@
     let arguments = Arguments::parse();
     let result = match &arguments.command {
         Command::Soak(soak) => return run_soak(soak),
-        _ => start(arguments.command),
+        _ => run_command(arguments.command),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -110,7 +111,7 @@
 }
 
 fn run_soak(arguments: &SoakArguments) -> ExitCode {
-    match soak(arguments) {
+    match run_seeds(arguments) {
         Ok(verdict) => verdict.exit_code(),
         Err(error) => {
             eprintln!("soak: {error:#}");
@@ -150,7 +151,7 @@
     }
 }
 
-fn soak(arguments: &SoakArguments) -> anyhow::Result<Verdict> {
+fn run_seeds(arguments: &SoakArguments) -> anyhow::Result<Verdict> {
     let seeds = arguments.seed..arguments.seed.saturating_add(arguments.count);
     if arguments.dry_run {
         seeds.for_each(|seed| println!("{}", SoakPlan::draw(seed)));
@@ -160,10 +161,10 @@
         bail!("--proxy: {}: no such program", arguments.proxy_program.display());
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut reports = Vec::new();
     for seed in seeds {
-        if arguments.seconds.is_some_and(|seconds| begun.elapsed().as_secs() >= seconds) {
+        if arguments.seconds.is_some_and(|seconds| started_at.elapsed().as_secs() >= seconds) {
             break;
         }
         let report = runtime.block_on(foldhitch_scale_test::soak::run(seed, &arguments.proxy_program))?;
@@ -177,33 +178,33 @@
     Ok(reports.iter().map(Verdict::of).max().unwrap_or(Verdict::Undecided))
 }
 
-fn start(command: Command) -> anyhow::Result<()> {
+fn run_command(command: Command) -> anyhow::Result<()> {
     match command {
         Command::Soak(_) => unreachable!("it was run"),
-        Command::HollowProxies => real::simulated_proxies::serve(),
+        Command::HostSimulatedProxies => real::simulated_proxies::serve(),
         Command::Check { scenario } => {
             let scenario = Scenario::load(&scenario)?;
             real::check(&scenario, true)?;
             println!("the scenario can be run: sizes {:?}", scenario.sizes);
             Ok(())
         }
-        Command::Run { scenario, sizes, seed, json, proxy_program, part, without_hollow } => {
+        Command::Run { scenario, sizes, seed, json, proxy_program, part, without_simulated } => {
             let mut scenario = Scenario::load(&scenario)?;
             if !sizes.is_empty() {
                 scenario.sizes = sizes;
             }
             scenario.seed = seed.unwrap_or(scenario.seed);
             scenario.check()?;
-            let (mut report, begun) = (Map::new(), Instant::now());
-            if part != Part::Hollow {
-                let real = play_real(&scenario, proxy_program, !without_hollow)?;
+            let (mut report, started_at) = (Map::new(), Instant::now());
+            if part != Part::Simulated {
+                let real = run_real(&scenario, proxy_program, !without_simulated)?;
                 print!("{real}");
                 report.insert("real".to_string(), rounded(to_value(real)?));
             }
             if part != Part::Real {
-                let hollow = play_simulated(&scenario, begun)?;
-                print!("{hollow}");
-                report.insert("hollow".to_string(), rounded(to_value(hollow)?));
+                let simulated = run_simulated(&scenario, started_at)?;
+                print!("{simulated}");
+                report.insert("hollow".to_string(), rounded(to_value(simulated)?));
             }
             match json {
                 Some(path) => std::fs::write(&path, serde_json::to_vec(&report)?)
@@ -215,11 +216,11 @@
 }
 
 /// Begins no size once the time of the whole run is over.
-fn play_simulated(scenario: &Scenario, begun: Instant) -> anyhow::Result<SimulatedPart> {
+fn run_simulated(scenario: &Scenario, started_at: Instant) -> anyhow::Result<SimulatedPart> {
     let mut sizes = Vec::new();
     for &size in &scenario.sizes {
         let limit = scenario.limits.run_s;
-        if begun.elapsed().as_secs_f64() > limit {
+        if started_at.elapsed().as_secs_f64() > limit {
             bail!("limits.run_s: the run is not over after {limit} s");
         }
         tracing::info!("size {size}: hollow part");
@@ -228,7 +229,7 @@
     Ok(SimulatedPart::new(sizes))
 }
 
-fn play_real(scenario: &Scenario, proxy_program: PathBuf, with_simulated: bool) -> anyhow::Result<Real> {
+fn run_real(scenario: &Scenario, proxy_program: PathBuf, with_simulated: bool) -> anyhow::Result<Real> {
     real::check(scenario, with_simulated)?;
     if !proxy_program.is_file() {
         bail!("--proxy: {}: no such program", proxy_program.display());
--- a/crates/scale-test/src/real/fleet.rs
+++ b/crates/scale-test/src/real/fleet.rs
@@ -9,7 +9,7 @@
 use super::simulated_proxies::{HostConfig, SimulatedProxyConfig};
 use super::usage;
 use super::{Options, histogram};
-use crate::report::{Added, Phase, Quantiles, Size};
+use crate::report::{AddedLatency, Phase, Quantiles, Size};
 use crate::scenario::{Scenario, zone_name};
 use anyhow::Context;
 use hyper::Method;
@@ -455,7 +455,7 @@
 }
 
 /// Returns the latency that the proxies add to calls of each depth, compared with direct calls of the same phase.
-fn added_latency(metrics: &LoadMetrics) -> Vec<Added> {
+fn added_latency(metrics: &LoadMetrics) -> Vec<AddedLatency> {
     let mut depths = BTreeMap::new();
     for ((depth, direct), times) in &metrics.times {
         let pair = depths.entry(*depth).or_insert_with(|| (histogram(), histogram()));
@@ -469,7 +469,7 @@
     )| {
         let difference =
             |q: f64| (proxied.value_at_quantile(q) as f64 - straight.value_at_quantile(q) as f64) / 1000.0;
-        Added {
+        AddedLatency {
             depth,
             straight_ms: Quantiles::of_micros(&straight),
             proxied_ms: Quantiles::of_micros(&proxied),
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -22,15 +22,20 @@
 
 impl Quantiles {
     /// Of values in microseconds.
-    pub fn of_micros(h: &Histogram<u64>) -> Self {
-        let at = |q| h.value_at_quantile(q) as f64 / 1000.0;
-        Quantiles { count: h.len(), p50: at(0.5), p99: at(0.99), max: h.max() as f64 / 1000.0 }
+    pub fn of_micros(histogram: &Histogram<u64>) -> Self {
+        let milliseconds_at = |q| histogram.value_at_quantile(q) as f64 / 1000.0;
+        Quantiles {
+            count: histogram.len(),
+            p50: milliseconds_at(0.5),
+            p99: milliseconds_at(0.99),
+            max: histogram.max() as f64 / 1000.0,
+        }
     }
 }
 
 /// What the proxies add to calls of a depth: quantiles through proxies less those of straight calls.
 #[derive(Debug, Clone, Serialize)]
-pub struct Added {
+pub struct AddedLatency {
     /// Calls one behind the other.
     pub depth: usize,
     /// Through proxies.
@@ -117,7 +122,7 @@
     pub in_force_at_last_ms: Quantiles,
     /// Added latency, in the phase that compares.
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub added: Vec<Added>,
+    pub added: Vec<AddedLatency>,
 }
 
 /// A size of the run.
@@ -180,20 +185,20 @@
 }
 
 /// A busier process of simulated proxies has no room left.
-const FULL_CORE_PERCENT: f64 = 90.0;
+const MAX_CORE_PERCENT: f64 = 90.0;
 /// More of the calls or timers late than this, and the machine did not carry the phase.
-const LATE_PERCENT: f64 = 1.0;
+const MAX_LATE_PERCENT: f64 = 1.0;
 
 /// A measure that grows with the size.
 struct Measure {
     name: &'static str,
-    of: fn(&Phase) -> f64,
+    value: fn(&Phase) -> f64,
     /// Whether a phase that the machine did not carry says nothing of it.
-    timely: bool,
+    excludes_overloaded_phases: bool,
 }
 
-const fn measure(name: &'static str, of: fn(&Phase) -> f64, timely: bool) -> Measure {
-    Measure { name, of, timely }
+const fn measure(name: &'static str, value: fn(&Phase) -> f64, excludes_overloaded_phases: bool) -> Measure {
+    Measure { name, value, excludes_overloaded_phases }
 }
 
 const MEASURES: [Measure; 8] = [
@@ -210,7 +215,7 @@
 impl Real {
     /// Of sizes that were played.
     pub fn new(seed: u64, machine: Machine, sizes: Vec<Size>) -> Self {
-        let not_carried = not_carried(&sizes);
+        let not_carried = not_carried_lines(&sizes);
         Real { seed, machine, slopes: slopes(&sizes), sizes, not_carried }
     }
 }
@@ -224,11 +229,12 @@
     };
     let bytes = sizes.iter().map(|s| (s.size, s.whole_list_bytes as f64));
     fit("bytes of the whole list".to_string(), bytes.collect());
-    for (place, phase) in first.phases.iter().enumerate() {
+    for (index, phase) in first.phases.iter().enumerate() {
         for measure in &MEASURES {
-            let phases = sizes.iter().filter_map(|s| Some((s.size, s.phases.get(place)?)));
-            let carried = phases.filter(|(_, phase)| !measure.timely || phase.troubles().is_empty());
-            let points: Vec<_> = carried.map(|(size, phase)| (size, (measure.of)(phase))).collect();
+            let phases = sizes.iter().filter_map(|s| Some((s.size, s.phases.get(index)?)));
+            let usable = phases
+                .filter(|(_, phase)| !measure.excludes_overloaded_phases || phase.overloads().is_empty());
+            let points: Vec<_> = usable.map(|(size, phase)| (size, (measure.value)(phase))).collect();
             if points.iter().any(|(_, x)| *x != 0.0) {
                 fit(format!("{}: {}", phase.name, measure.name), points);
             }
@@ -240,32 +246,32 @@
 impl Phase {
     /// Calls of a depth that were not served.
     fn unserved_percent(&self, depth: usize) -> f64 {
-        let of = self.served_by_depth.iter().find(|(d, ..)| *d == depth);
-        of.map_or(0.0, |&(_, asked, served)| 100.0 * (1.0 - served as f64 / asked.max(1) as f64))
+        let counts = self.served_by_depth.iter().find(|(d, ..)| *d == depth);
+        counts.map_or(0.0, |&(_, asked, served)| 100.0 * (1.0 - served as f64 / asked.max(1) as f64))
     }
 
     /// What the machine could not carry.
-    fn troubles(&self) -> Vec<String> {
-        let figures = [
+    fn overloads(&self) -> Vec<String> {
+        let percentages = [
             (
                 self.simulated_host_core_percent_max,
-                FULL_CORE_PERCENT,
+                MAX_CORE_PERCENT,
                 "of a core for a process of hollow proxies",
             ),
             (
                 self.simulated_late_timers_percent,
-                LATE_PERCENT,
+                MAX_LATE_PERCENT,
                 "of hollow proxies' timers more than 20 ms late",
             ),
-            (self.late_calls_percent, LATE_PERCENT, "of the calls sent late"),
-            (self.registry_core_percent, FULL_CORE_PERCENT, "of a core for the stand-in of discovery"),
+            (self.late_calls_percent, MAX_LATE_PERCENT, "of the calls sent late"),
+            (self.registry_core_percent, MAX_CORE_PERCENT, "of a core for the stand-in of discovery"),
         ];
-        let over = figures.into_iter().filter(|(figure, most, _)| figure > most);
-        over.map(|(figure, _, what)| format!("{figure:.1}% {what}")).collect()
+        let over = percentages.into_iter().filter(|(percent, limit, _)| percent > limit);
+        over.map(|(percent, _, subject)| format!("{percent:.1}% {subject}")).collect()
     }
 }
 
-fn not_carried(sizes: &[Size]) -> Vec<String> {
+fn not_carried_lines(sizes: &[Size]) -> Vec<String> {
     let mut lines = Vec::new();
     for size in sizes {
         let proxies = size.real + size.simulated;
@@ -275,9 +281,9 @@
                 .push(format!("size {}: {held} of {proxies} proxies held the first list in time", size.size));
         }
         for phase in &size.phases {
-            let troubles = phase.troubles();
-            if !troubles.is_empty() {
-                lines.push(format!("size {}, {}: {}", size.size, phase.name, troubles.join("; ")));
+            let overloads = phase.overloads();
+            if !overloads.is_empty() {
+                lines.push(format!("size {}, {}: {}", size.size, phase.name, overloads.join("; ")));
             }
         }
     }
@@ -428,18 +434,19 @@
     pub fn new(sizes: Vec<simulated::Report>) -> Self {
         let mut slopes = Vec::new();
         let events = sizes.first().map_or(&[][..], |s| &s.events);
-        type Of = fn(&simulated::EventReport, f64) -> f64;
-        let measures: [(&str, Of); 3] = [
+        type EventMeasure = fn(&simulated::EventReport, f64) -> f64;
+        let measures: [(&str, EventMeasure); 3] = [
             ("s of full service lost", |e, _| e.lost_s.iter().sum()),
             ("ms in force at the last, p99", |e, _| e.in_force.p99),
             ("list entries/s to a proxy", |e, proxies| {
                 e.during.control.entries as f64 / e.during.seconds / proxies
             }),
         ];
-        for (place, event) in events.iter().enumerate() {
-            for (name, of) in measures {
-                let at = |s: &simulated::Report| Some((s.size, of(s.events.get(place)?, s.proxies as f64)));
-                let points: Vec<_> = sizes.iter().filter_map(at).collect();
+        for (index, event) in events.iter().enumerate() {
+            for (name, value) in measures {
+                let point =
+                    |s: &simulated::Report| Some((s.size, value(s.events.get(index)?, s.proxies as f64)));
+                let points: Vec<_> = sizes.iter().filter_map(point).collect();
                 let floats: Vec<_> = points.iter().map(|&(size, x)| (size as f64, x)).collect();
                 let measure = format!("{}: {name}", event.name);
                 slopes.extend(fit::line(&floats).map(|line| Slope { measure, points, line }));
