--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,6 +1,8 @@
-//! The scale run: the fleet of the target size on one machine, in two parts that share one scenario. The
-//! hollow part plays copies of the decision module on virtual time, the same for a seed; the real part starts
-//! processes, watches and backends on loopback sockets and measures them.
+//! The scale test: runs a fleet of the target size on one machine, in two parts that share one scenario.
+//!
+//! The simulated part, called `hollow` on the command line and in reports, runs many instances of the balancer on
+//! virtual time and is deterministic for a seed. The real part starts processes, watches and backends on loopback
+//! sockets and measures them.
 
 #![forbid(unsafe_code)]
 
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the scale run.
+//! The command line of the scale test.
 
 #![forbid(unsafe_code)]
 
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tracing_subscriber::filter::LevelFilter;
 
-/// The fleet of a target size on one machine, measured at several sizes.
+/// Runs a fleet of proxies on one machine and measures it at several sizes.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -25,38 +25,38 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a scenario and prints what was measured.
+    /// Runs a scenario and prints the measurements.
     Run {
         /// The scenario file.
         scenario: PathBuf,
-        /// Sizes in place of the file's, parted by commas.
+        /// Comma-separated sizes that replace those of the file.
         #[arg(long, value_delimiter = ',')]
         sizes: Vec<usize>,
-        /// A seed in place of the file's.
+        /// A seed that replaces that of the file.
         #[arg(long)]
         seed: Option<u64>,
-        /// A file that takes the report as JSON.
+        /// The file to which the report is written as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// The real proxy's program.
+        /// The path of the proxy's executable.
         #[arg(long = "proxy", default_value = "target/release/foldhitch-proxy")]
         proxy_program: PathBuf,
-        /// What is played.
+        /// The part to run.
         #[arg(long, value_enum, default_value_t = Part::All)]
         part: Part,
-        /// In the real part, real proxies alone, with the whole size listed.
+        /// Runs the real part with real proxies only; the endpoint list still has all backends of the size.
         #[arg(long = "without-hollow")]
         without_simulated: bool,
     },
-    /// Reads a scenario and says whether it and the machine's limits allow a run.
+    /// Checks whether a scenario is valid and the limits allow a run.
     Check {
         /// The scenario file.
         scenario: PathBuf,
     },
-    /// Plays seeds against the real program and checks what is seen by the rules. Exits with 1 where one is broken, with
-    /// 2 where a seed can't be played or the machine was too busy for a verdict.
+    /// Runs soak seeds against the real proxy and checks the observations against the rules. Exits with 1 if a rule is
+    /// broken, and with 2 if a seed can't be run or the machine was too busy for a verdict.
     Soak(SoakArguments),
-    /// Hosts hollow proxies for a run.
+    /// Hosts simulated proxies for a run.
     #[command(name = real::HOST_COMMAND, hide = true)]
     HostSimulatedProxies,
 }
@@ -66,31 +66,31 @@
     /// The first seed.
     #[arg(long)]
     seed: u64,
-    /// How many seeds, one after the other.
+    /// The number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// No seed is begun after so many seconds.
+    /// Starts no further seed after this many seconds.
     #[arg(long)]
     seconds: Option<u64>,
-    /// The real proxy's program.
+    /// The path of the proxy's executable.
     #[arg(long = "proxy", default_value = "target/release/foldhitch-proxy")]
     proxy_program: PathBuf,
-    /// Prints settings and schedule, and plays nothing.
+    /// Prints the settings and the schedule without running them.
     #[arg(long)]
     dry_run: bool,
-    /// A file that takes the reports as JSON.
+    /// The file to which the reports are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Part {
-    /// The decision modules of a fleet on virtual time, the same for a seed.
+    /// The balancers of a simulated fleet on virtual time, deterministic for a seed.
     #[value(name = "hollow")]
     Simulated,
-    /// Processes on loopback sockets.
+    /// Real processes on loopback sockets.
     Real,
-    /// Both, the real part first.
+    /// Both parts, the real part first.
     All,
 }
 
@@ -120,12 +120,12 @@
     }
 }
 
-/// What comes of a soak.
+/// The verdict of a soak.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Verdict {
     /// All rules hold.
     Kept,
-    /// It could not be played, or the machine was too busy.
+    /// A seed could not be run, or the machine was too busy for a verdict.
     Undecided,
     /// A rule is broken.
     Broken,
@@ -180,7 +180,7 @@
 
 fn run_command(command: Command) -> anyhow::Result<()> {
     match command {
-        Command::Soak(_) => unreachable!("it was run"),
+        Command::Soak(_) => unreachable!("`main` handles the soak command"),
         Command::HostSimulatedProxies => real::simulated_proxies::serve(),
         Command::Check { scenario } => {
             let scenario = Scenario::load(&scenario)?;
@@ -215,7 +215,7 @@
     }
 }
 
-/// Begins no size once the time of the whole run is over.
+/// Runs the simulated part. Starts no further size once the time limit of the whole run is over.
 fn run_simulated(scenario: &Scenario, started_at: Instant) -> anyhow::Result<SimulatedPart> {
     let mut sizes = Vec::new();
     for &size in &scenario.sizes {
@@ -223,7 +223,7 @@
         if started_at.elapsed().as_secs_f64() > limit {
             bail!("limits.run_s: the run is not over after {limit} s");
         }
-        tracing::info!("size {size}: hollow part");
+        tracing::info!("size {size}: running the simulated part");
         sizes.push(simulated::run(scenario, size, scenario.seed)?);
     }
     Ok(SimulatedPart::new(sizes))
@@ -237,7 +237,7 @@
     let options = real::Options {
         seed: scenario.seed,
         proxy_program,
-        program: std::env::current_exe().context("this program's own path")?,
+        program: std::env::current_exe().context("path of this executable")?,
         with_simulated,
         run_timeout: Duration::from_secs_f64(scenario.limits.run_s),
     };
--- a/crates/scale-test/src/report.rs
+++ b/crates/scale-test/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run measured, as a table and as JSON.
+//! The report of a run, as a table and as JSON.
 
 use crate::fit::{self, Line};
 use crate::simulated;
@@ -7,21 +7,21 @@
 use serde_json::Value;
 use std::fmt::{self, Write};
 
-/// Of a histogram, in milliseconds.
+/// Quantiles of a histogram, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Quantiles {
-    /// Values.
+    /// The number of values.
     pub count: u64,
-    /// Half of them are within this.
+    /// The median.
     pub p50: f64,
-    /// 99 in 100 are.
+    /// The 99th percentile.
     pub p99: f64,
-    /// All are.
+    /// The maximum.
     pub max: f64,
 }
 
 impl Quantiles {
-    /// Of values in microseconds.
+    /// Returns the quantiles of a histogram of microseconds.
     pub fn of_micros(histogram: &Histogram<u64>) -> Self {
         let milliseconds_at = |q| histogram.value_at_quantile(q) as f64 / 1000.0;
         Quantiles {
@@ -33,167 +33,170 @@
     }
 }
 
-/// What the proxies add to calls of a depth: quantiles through proxies less those of straight calls.
+/// The latency that the proxies add to calls of a depth: the quantiles of calls through proxies minus those of direct
+/// calls.
 #[derive(Debug, Clone, Serialize)]
 pub struct AddedLatency {
-    /// Calls one behind the other.
+    /// The number of chained hops.
     pub depth: usize,
-    /// Through proxies.
+    /// The latency of calls through proxies.
     pub proxied_ms: Quantiles,
-    /// Straight to backends.
+    /// The latency of direct calls to backends.
     pub straight_ms: Quantiles,
-    /// Difference of the medians.
+    /// The difference of the medians.
     pub p50_ms: f64,
-    /// Difference of the 99th percentiles.
+    /// The difference of the 99th percentiles.
     pub p99_ms: f64,
-    /// The first for each hop.
+    /// The difference of the medians per hop.
     pub p50_ms_per_hop: f64,
-    /// The second for each hop.
+    /// The difference of the 99th percentiles per hop.
     pub p99_ms_per_hop: f64,
 }
 
-/// A phase of a size.
+/// The measurements of a phase.
 #[derive(Debug, Clone, Serialize)]
 pub struct Phase {
-    /// Its name.
+    /// The name of the phase.
     pub name: String,
-    /// How long it was measured, in seconds.
+    /// The duration of the measurement in seconds.
     pub wall_s: f64,
-    /// Processes that wanted to run on the machine, over the last minute.
+    /// The load average of the machine over the last minute.
     pub load_average: f64,
     /// Calls of clients through proxies.
     pub asked: u64,
-    /// Those served.
+    /// Served calls.
     pub served: u64,
-    /// Rejected.
+    /// Rejected calls.
     pub refused: u64,
-    /// Failed.
+    /// Failed calls.
     pub failed: u64,
-    /// Without an answer in time.
+    /// Calls without a complete response within the time limit.
     pub timed_out: u64,
-    /// Calls one behind the other, those asked, and those served.
+    /// For each depth of chained hops: the depth, the number of calls and the number of served calls.
     pub served_by_depth: Vec<(usize, u64, u64)>,
-    /// Worth that the answers did not have, in percent of all.
+    /// The worth that was not earned by responses, in percent of the worth of all calls.
     pub worth_lost_percent: f64,
-    /// Requests that came to backends for each hop that clients' calls were to make.
+    /// Requests that reached backends, per hop that the calls of clients were to make.
     pub sends_per_hop: f64,
-    /// Requests that came to a draining backend past its drain deadline.
+    /// Requests that reached a draining backend after its drain deadline.
     pub late_to_draining: u64,
-    /// Calls sent late by the load's generator.
+    /// Calls that the load generator sent late, in percent.
     pub late_calls_percent: f64,
-    /// Processor time of a real proxy, mean, in percent of a core.
+    /// The mean CPU time of a real proxy, in percent of a core.
     pub real_core_percent: f64,
-    /// Standard deviation over the real proxies.
+    /// The standard deviation of the CPU time over the real proxies.
     pub real_core_percent_deviation: f64,
-    /// The busiest one.
+    /// The CPU time of the busiest real proxy.
     pub real_core_percent_max: f64,
-    /// Timers of a simulated proxy that came due: fewer than the balancer asks for where the machine does not carry them.
+    /// Timers of a simulated proxy that fired per second. On an overloaded machine these are fewer than the balancer
+    /// requests.
     #[serde(rename = "hollow_wakes_per_s")]
     pub simulated_wakes_per_s: f64,
-    /// Processor time of a simulated proxy, mean.
+    /// The mean CPU time of a simulated proxy, in percent of a core.
     #[serde(rename = "hollow_core_percent")]
     pub simulated_core_percent: f64,
-    /// The busiest process of simulated proxies: near 100 it is not carried.
+    /// The CPU time of the busiest process of simulated proxies. Near 100, the process is overloaded.
     #[serde(rename = "hollow_host_core_percent_max")]
     pub simulated_host_core_percent_max: f64,
-    /// Timers of simulated proxies that came more than 20 ms late.
+    /// Timers of simulated proxies that fired more than 20 ms late, in percent.
     #[serde(rename = "hollow_late_timers_percent")]
     pub simulated_late_timers_percent: f64,
-    /// Processor time of the stand-in of discovery for all proxies together.
+    /// The CPU time of the stand-in for the discovery service, for all proxies together, in percent of a core.
     pub registry_core_percent: f64,
-    /// Resident memory of a real proxy, mean.
+    /// The mean resident memory of a real proxy.
     pub real_resident_mb: f64,
-    /// The largest one.
+    /// The largest resident memory of a real proxy.
     pub real_resident_max_mb: f64,
-    /// Resident memory of a simulated proxy, mean.
+    /// The mean resident memory of a simulated proxy.
     #[serde(rename = "hollow_resident_mb")]
     pub simulated_resident_mb: f64,
-    /// Bytes of a proxy's watch, both ways, in thousands a second, without the headers of TCP and IP.
+    /// The traffic of a proxy's watch in both directions, in kilobytes per second without TCP and IP headers.
     pub control_kb_per_s: f64,
-    /// Calls of a proxy's watch and their answers, a second.
+    /// Requests and responses of a proxy's watch per second.
     pub control_messages_per_s: f64,
-    /// Changes of the list.
+    /// The number of changes of the list.
     pub changes: usize,
-    /// Those not in force at all proxies in the target's time after the phase.
+    /// Changes that were not in force at all proxies within the target's time after the phase.
     pub changes_not_in_force: usize,
-    /// Time from a change to its being in force, over all changes and proxies.
+    /// The time from a change until it is in force at a proxy, over all changes and proxies.
     pub in_force_ms: Quantiles,
-    /// Time to the last proxy, over all changes.
+    /// The time from a change until it is in force at the last proxy, over all changes.
     pub in_force_at_last_ms: Quantiles,
-    /// Added latency, in the phase that compares.
+    /// The added latency, in the phase that compares calls through proxies with direct calls.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub added: Vec<AddedLatency>,
 }
 
-/// A size of the run.
+/// The measurements of a size.
 #[derive(Debug, Clone, Serialize)]
 pub struct Size {
-    /// Backends, each with its proxy.
+    /// The number of backends, each of which has a proxy.
     pub size: usize,
-    /// Real proxies.
+    /// The number of real proxies.
     pub real: usize,
-    /// Simulated ones.
+    /// The number of simulated proxies.
     #[serde(rename = "hollow")]
     pub simulated: usize,
-    /// Processes, this program's own among them.
+    /// The number of processes, including this one.
     pub processes: usize,
-    /// Seconds from the start to the first list at all proxies.
+    /// The seconds from the start until the proxies had the first endpoint list.
     pub start_s: f64,
-    /// Proxies that held it then.
+    /// The number of proxies that had the first list by then.
     pub holding_first_list: usize,
-    /// Size of the full list.
+    /// The encoded size of the full list.
     pub whole_list_bytes: usize,
-    /// Resident memory of all processes at the end, in MB.
+    /// The resident memory of all processes at the end, in MB.
     pub total_resident_mb: f64,
-    /// What was measured.
+    /// The measurements of the phases.
     pub phases: Vec<Phase>,
 }
 
-/// How a measure grows with the size.
+/// The growth of a measure with the size.
 #[derive(Debug, Clone, Serialize)]
 pub struct Slope {
-    /// Phase and measure.
+    /// The names of the phase and the measure.
     pub measure: String,
-    /// The measure at each size.
+    /// The value of the measure at each size.
     pub points: Vec<(usize, f64)>,
-    /// The line through them; timely measures leave out phases that the machine did not carry.
+    /// The line fitted to the points. Measures that depend on timing leave out phases in which the machine was
+    /// overloaded.
     pub line: Line,
 }
 
-/// The machine while the run was on.
+/// The machine that a run used.
 #[derive(Debug, Clone, Serialize)]
 pub struct Machine {
-    /// Its cores.
+    /// The number of cores.
     pub cores: usize,
-    /// Processes that wanted to run at the start, over the last minute.
+    /// The load average over the last minute before the start.
     pub load_average_before: f64,
 }
 
-/// The real part of a run.
+/// The report of the real part.
 #[derive(Debug, Clone, Serialize)]
 pub struct Real {
-    /// Feeds its random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Where it ran.
+    /// The machine that it ran on.
     pub machine: Machine,
-    /// Its sizes.
+    /// The measurements of the sizes.
     pub sizes: Vec<Size>,
-    /// Over the sizes.
+    /// The growth of the measures with the size.
     pub slopes: Vec<Slope>,
-    /// What the machine could not carry, in words; figures of such phases are no proxy's.
+    /// Descriptions of the overloads of the machine. The measurements of such phases say nothing about a proxy.
     pub not_carried: Vec<String>,
 }
 
-/// A busier process of simulated proxies has no room left.
+/// A process or thread that uses more of a core than this is overloaded.
 const MAX_CORE_PERCENT: f64 = 90.0;
-/// More of the calls or timers late than this, and the machine did not carry the phase.
+/// A phase in which more than this percentage of the calls or timers is late counts as overloaded.
 const MAX_LATE_PERCENT: f64 = 1.0;
 
-/// A measure that grows with the size.
+/// A measure whose growth with the size is reported.
 struct Measure {
     name: &'static str,
     value: fn(&Phase) -> f64,
-    /// Whether a phase that the machine did not carry says nothing of it.
+    /// Whether phases in which the machine was overloaded are left out, because they say nothing about the measure.
     excludes_overloaded_phases: bool,
 }
 
@@ -213,7 +216,7 @@
 ];
 
 impl Real {
-    /// Of sizes that were played.
+    /// Creates the report from the measurements of the sizes.
     pub fn new(seed: u64, machine: Machine, sizes: Vec<Size>) -> Self {
         let not_carried = not_carried_lines(&sizes);
         Real { seed, machine, slopes: slopes(&sizes), sizes, not_carried }
@@ -244,13 +247,13 @@
 }
 
 impl Phase {
-    /// Calls of a depth that were not served.
+    /// Returns the percentage of the calls of a depth that were not served.
     fn unserved_percent(&self, depth: usize) -> f64 {
         let counts = self.served_by_depth.iter().find(|(d, ..)| *d == depth);
         counts.map_or(0.0, |&(_, asked, served)| 100.0 * (1.0 - served as f64 / asked.max(1) as f64))
     }
 
-    /// What the machine could not carry.
+    /// Returns descriptions of what overloaded the machine in this phase.
     fn overloads(&self) -> Vec<String> {
         let percentages = [
             (
@@ -290,7 +293,7 @@
     lines
 }
 
-/// The report with figures of five digits, so that it stays short.
+/// Rounds all floating-point numbers of a report to five significant digits, which keeps it short.
 pub fn rounded(report: Value) -> Value {
     match report {
         Value::Number(x) if x.is_f64() => x.as_f64().map_or(Value::Null, |x| round(x).into()),
@@ -301,7 +304,7 @@
 }
 
 fn round(x: f64) -> f64 {
-    // What is too small or large to be scaled stays as it is.
+    // Numbers that are too small or too large to be scaled are not rounded.
     let scale = 10f64.powf(4.0 - x.abs().log10().floor());
     if scale.is_normal() && (x * scale).is_finite() { (x * scale).round() / scale } else { x }
 }
@@ -393,7 +396,7 @@
         "slow%"
     );
     for p in &size.phases {
-        // Writing to a string does not fail.
+        // Writing to a `String` never fails.
         let _ = writeln!(
             text,
             "  {:<14}{:>7}{:>7}{:>8.2}{:>8.2}{:>7.2}{:>7}{:>8.2}{:>8.2}{:>8.2}{:>7.1}{:>8.1}{:>8.2}{:>9.2}{:>9}{:>7.0}{:>6.1}{:>6.1}",
@@ -420,17 +423,17 @@
     text
 }
 
-/// The simulated part of a run, on virtual time.
+/// The report of the simulated part, which runs on virtual time.
 #[derive(Debug, Clone, Serialize)]
 pub struct SimulatedPart {
-    /// Its sizes.
+    /// The measurements of the sizes.
     pub sizes: Vec<simulated::Report>,
-    /// Over the sizes.
+    /// The growth of the measures with the size.
     pub slopes: Vec<Slope>,
 }
 
 impl SimulatedPart {
-    /// Of sizes that were played.
+    /// Creates the report from the measurements of the sizes.
     pub fn new(sizes: Vec<simulated::Report>) -> Self {
         let mut slopes = Vec::new();
         let events = sizes.first().map_or(&[][..], |s| &s.events);
