--- a/crates/scale-test/src/real/fleet.rs
+++ b/crates/scale-test/src/real/fleet.rs
@@ -58,16 +58,16 @@
     size: usize,
     children: &mut Children,
 ) -> anyhow::Result<Size> {
-    let need = Requirements::for_size(scenario, size, options.with_simulated);
-    need.check(scenario, size)?;
+    let requirements = Requirements::for_size(scenario, size, options.with_simulated);
+    requirements.check(scenario, size)?;
     let folder = tempfile::tempdir().context("folder for temporary files")?;
     let begun = Instant::now();
-    let mut fleet = Fleet::start(scenario, options, size, need, children, folder.path()).await?;
-    let (registry, real) = (&fleet.registry, need.real);
-    let holding = registry.wait_until_in_force(1, FIRST_LIST_TIMEOUT).await;
-    if holding < need.watches {
+    let mut fleet = Fleet::start(scenario, options, size, requirements, children, folder.path()).await?;
+    let (registry, real) = (&fleet.registry, requirements.real);
+    let proxies_with_list = registry.wait_until_in_force(1, FIRST_LIST_TIMEOUT).await;
+    if proxies_with_list < requirements.watches {
         tracing::warn!(
-            "size {size}: only {holding} proxies have the first endpoint list after {FIRST_LIST_TIMEOUT:?}"
+            "size {size}: only {proxies_with_list} proxies have the first endpoint list after {FIRST_LIST_TIMEOUT:?}"
         );
     }
     let start_s = begun.elapsed().as_secs_f64();
@@ -80,10 +80,10 @@
     Ok(Size {
         size,
         real,
-        simulated: need.watches - real,
-        processes: 1 + real + need.hosts,
+        simulated: requirements.watches - real,
+        processes: 1 + real + requirements.hosts,
         start_s,
-        holding_first_list: holding,
+        holding_first_list: proxies_with_list,
         whole_list_bytes,
         total_resident_mb: resident / 1e6,
         phases,
@@ -123,7 +123,7 @@
         scenario: &'a Scenario,
         options: &Options,
         size: usize,
-        need: Requirements,
+        requirements: Requirements,
         children: &'a mut Children,
         folder: &std::path::Path,
     ) -> anyhow::Result<Self> {
@@ -144,8 +144,9 @@
             Endpoint::serving(format!("s-{number:04}"), backend.address, zone, cell)
         });
         let endpoints: Vec<Endpoint> = endpoints.collect();
-        let registry =
-            Registry::start(endpoints.clone(), need.watches).await.context("stand-in of discovery")?;
+        let registry = Registry::start(endpoints.clone(), requirements.watches)
+            .await
+            .context("stand-in of discovery")?;
         let mut rng = StdRng::seed_from_u64(options.seed ^ size as u64);
         let load_rng = StdRng::seed_from_u64(rng.random());
         let settings = |instance: usize| {
@@ -154,7 +155,7 @@
             settings["tenants"] = json!([{"name": TENANT, "quotaPerS": 1e9}]);
             settings
         };
-        let simulated: Vec<usize> = (need.real..need.watches).collect();
+        let simulated: Vec<usize> = (requirements.real..requirements.watches).collect();
         for instances in simulated.chunks(plan.simulated_per_process) {
             let proxies = instances.iter().map(|&instance| SimulatedProxyConfig {
                 settings: settings(instance),
@@ -163,7 +164,7 @@
             });
             children.start_host(&options.program, &HostConfig { proxies: proxies.collect() }).await?;
         }
-        for instance in 0..need.real {
+        for instance in 0..requirements.real {
             let config = json!({
                 "name": format!("n{instance}"),
                 "listen": "127.0.0.1:0",
@@ -176,7 +177,7 @@
         }
         let proxies: Vec<_> = children.proxies.iter().map(|p| p.address).collect();
         let direct: Vec<_> = backends.all.iter().map(|b| b.address).collect();
-        let direct = direct[..size.min(DIRECT_BACKENDS_PER_PROXY * need.real.max(1))].to_vec();
+        let direct = direct[..size.min(DIRECT_BACKENDS_PER_PROXY * requirements.real.max(1))].to_vec();
         backends.set_next_hops(NextHops { proxies: proxies.clone(), backends: direct.clone() });
         let load = Arc::new(Load {
             client: Arc::new(Client::new(1)),
@@ -462,16 +463,16 @@
         *(if *direct { &mut pair.1 } else { &mut pair.0 }) = times.clone();
     }
     let compared =
-        depths.into_iter().filter(|(_, (proxied, straight))| !proxied.is_empty() && !straight.is_empty());
-    let added = |(depth, (proxied, straight)): (
+        depths.into_iter().filter(|(_, (proxied, direct))| !proxied.is_empty() && !direct.is_empty());
+    let added = |(depth, (proxied, direct)): (
         usize,
         (hdrhistogram::Histogram<u64>, hdrhistogram::Histogram<u64>),
     )| {
         let difference =
-            |q: f64| (proxied.value_at_quantile(q) as f64 - straight.value_at_quantile(q) as f64) / 1000.0;
+            |q: f64| (proxied.value_at_quantile(q) as f64 - direct.value_at_quantile(q) as f64) / 1000.0;
         AddedLatency {
             depth,
-            straight_ms: Quantiles::of_micros(&straight),
+            straight_ms: Quantiles::of_micros(&direct),
             proxied_ms: Quantiles::of_micros(&proxied),
             p50_ms: difference(0.5),
             p99_ms: difference(0.99),
--- a/crates/scale-test/tests/real.rs
+++ b/crates/scale-test/tests/real.rs
@@ -98,8 +98,8 @@
     Endpoint::serving(format!("s-{number}"), address, "z0".to_string(), 0)
 }
 
-fn names_and_health(hosts: &[(u16, &str)]) -> Vec<(String, String)> {
-    hosts.iter().map(|(number, health)| (format!("s-{number}"), (*health).to_string())).collect()
+fn names_and_health(endpoints: &[(u16, &str)]) -> Vec<(String, String)> {
+    endpoints.iter().map(|(number, health)| (format!("s-{number}"), (*health).to_string())).collect()
 }
 
 #[tokio::test]
