--- a/crates/scale-test/src/real/children.rs
+++ b/crates/scale-test/src/real/children.rs
@@ -36,8 +36,8 @@
     output: Lines<BufReader<ChildStdout>>,
 }
 
-/// All child processes of a run. They are killed when this is dropped; [`stop`](Self::stop) also waits for them, so that
-/// no zombie process remains.
+/// All child processes of a run. They are killed when this is dropped. [`stop`](Self::stop) also waits for them, so
+/// that no zombie process remains.
 #[derive(Default)]
 pub struct Children {
     /// The processes of real proxies.
@@ -93,7 +93,7 @@
                 let _ = child.kill().await;
                 return Err(other
                     .err()
-                    .unwrap_or_else(|| anyhow!("{name}: ended before it listened: {last_line}")));
+                    .unwrap_or_else(|| anyhow!("{name}: exited before it listened: {last_line}")));
             }
         };
         self.proxies.push(ProxyProcess { child, pid, address, _log: log });
--- a/crates/scale-test/tests/real.rs
+++ b/crates/scale-test/tests/real.rs
@@ -368,7 +368,7 @@
     let run = program(folder.path()).arg("run").arg(scenario).arg("--proxy").arg(proxy).output();
     let output = within_timeout(run).await.expect("the program starts");
     assert!(!output.status.success());
-    assert_eq!(last_line(&output), "scale: n0: ended before it listened: no room");
+    assert_eq!(last_line(&output), "scale: n0: exited before it listened: no room");
     assert_nothing_is_left(&String::from_utf8_lossy(&output.stderr), folder.path());
 }
 
