--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the scale run.
+//! The command line of the scale test.
 
 #![forbid(unsafe_code)]
 
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tracing_subscriber::filter::LevelFilter;
 
-/// The fleet of a target size on one machine, measured at several sizes.
+/// Runs a fleet of proxies on one machine and measures it at several sizes.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -25,40 +25,40 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a scenario and prints what was measured.
+    /// Runs a scenario and prints the measurements.
     Run {
         /// The scenario file.
         scenario: PathBuf,
-        /// Sizes in place of the file's, parted by commas.
+        /// Comma-separated sizes that replace those of the file.
         #[arg(long, value_delimiter = ',')]
         sizes: Vec<usize>,
-        /// A seed in place of the file's.
+        /// A seed that replaces that of the file.
         #[arg(long)]
         seed: Option<u64>,
-        /// A file that takes the report as JSON.
+        /// The file to which the report is written as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// The real proxy's program.
+        /// The path of the proxy's executable.
         #[arg(long = "proxy", default_value = "target/release/foldhitch-proxy")]
         proxy_program: PathBuf,
-        /// What is played.
+        /// The part to run.
         #[arg(long, value_enum, default_value_t = Part::All)]
         part: Part,
-        /// In the real part, real proxies alone, with the whole size listed.
-        #[arg(long)]
-        without_hollow: bool,
+        /// Runs the real part with real proxies only; the endpoint list still has all backends of the size.
+        #[arg(long = "without-hollow")]
+        without_simulated: bool,
     },
-    /// Reads a scenario and says whether it and the machine's limits allow a run.
+    /// Checks whether a scenario is valid and the limits allow a run.
     Check {
         /// The scenario file.
         scenario: PathBuf,
     },
-    /// Plays seeds against the real program and checks what is seen by the rules. Exits with 1 where one is broken, with
-    /// 2 where a seed can't be played or the machine was too busy for a verdict.
+    /// Runs soak seeds against the real proxy and checks the observations against the rules. Exits with 1 if a rule is
+    /// broken, and with 2 if a seed can't be run or the machine was too busy for a verdict.
     Soak(SoakArguments),
-    /// Hosts hollow proxies for a run.
+    /// Hosts simulated proxies for a run.
     #[command(name = real::HOST_COMMAND, hide = true)]
-    HollowProxies,
+    HostSimulatedProxies,
 }
 
 #[derive(Args)]
@@ -66,30 +66,31 @@
     /// The first seed.
     #[arg(long)]
     seed: u64,
-    /// How many seeds, one after the other.
+    /// The number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// No seed is begun after so many seconds.
+    /// Starts no further seed after this many seconds.
     #[arg(long)]
     seconds: Option<u64>,
-    /// The real proxy's program.
+    /// The path of the proxy's executable.
     #[arg(long = "proxy", default_value = "target/release/foldhitch-proxy")]
     proxy_program: PathBuf,
-    /// Prints settings and schedule, and plays nothing.
+    /// Prints the settings and the schedule without running them.
     #[arg(long)]
     dry_run: bool,
-    /// A file that takes the reports as JSON.
+    /// The file to which the reports are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Part {
-    /// The decision modules of a fleet on virtual time, the same for a seed.
-    Hollow,
-    /// Processes on loopback sockets.
+    /// The balancers of a simulated fleet on virtual time, deterministic for a seed.
+    #[value(name = "hollow")]
+    Simulated,
+    /// Real processes on loopback sockets.
     Real,
-    /// Both, the real part first.
+    /// Both parts, the real part first.
     All,
 }
 
@@ -98,7 +99,7 @@
     let arguments = Arguments::parse();
     let result = match &arguments.command {
         Command::Soak(soak) => return run_soak(soak),
-        _ => start(arguments.command),
+        _ => run_command(arguments.command),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -110,7 +111,7 @@
 }
 
 fn run_soak(arguments: &SoakArguments) -> ExitCode {
-    match soak(arguments) {
+    match run_seeds(arguments) {
         Ok(verdict) => verdict.exit_code(),
         Err(error) => {
             eprintln!("soak: {error:#}");
@@ -119,12 +120,12 @@
     }
 }
 
-/// What comes of a soak.
+/// The verdict of a soak.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Verdict {
     /// All rules hold.
     Kept,
-    /// It could not be played, or the machine was too busy.
+    /// A seed could not be run, or the machine was too busy for a verdict.
     Undecided,
     /// A rule is broken.
     Broken,
@@ -150,7 +151,7 @@
     }
 }
 
-fn soak(arguments: &SoakArguments) -> anyhow::Result<Verdict> {
+fn run_seeds(arguments: &SoakArguments) -> anyhow::Result<Verdict> {
     let seeds = arguments.seed..arguments.seed.saturating_add(arguments.count);
     if arguments.dry_run {
         seeds.for_each(|seed| println!("{}", SoakPlan::draw(seed)));
@@ -160,10 +161,10 @@
         bail!("--proxy: {}: no such program", arguments.proxy_program.display());
     }
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut reports = Vec::new();
     for seed in seeds {
-        if arguments.seconds.is_some_and(|seconds| begun.elapsed().as_secs() >= seconds) {
+        if arguments.seconds.is_some_and(|seconds| started_at.elapsed().as_secs() >= seconds) {
             break;
         }
         let report = runtime.block_on(foldhitch_scale_test::soak::run(seed, &arguments.proxy_program))?;
@@ -177,33 +178,33 @@
     Ok(reports.iter().map(Verdict::of).max().unwrap_or(Verdict::Undecided))
 }
 
-fn start(command: Command) -> anyhow::Result<()> {
+fn run_command(command: Command) -> anyhow::Result<()> {
     match command {
-        Command::Soak(_) => unreachable!("it was run"),
-        Command::HollowProxies => real::simulated_proxies::serve(),
+        Command::Soak(_) => unreachable!("`main` handles the soak command"),
+        Command::HostSimulatedProxies => real::simulated_proxies::serve(),
         Command::Check { scenario } => {
             let scenario = Scenario::load(&scenario)?;
             real::check(&scenario, true)?;
             println!("the scenario can be run: sizes {:?}", scenario.sizes);
             Ok(())
         }
-        Command::Run { scenario, sizes, seed, json, proxy_program, part, without_hollow } => {
+        Command::Run { scenario, sizes, seed, json, proxy_program, part, without_simulated } => {
             let mut scenario = Scenario::load(&scenario)?;
             if !sizes.is_empty() {
                 scenario.sizes = sizes;
             }
             scenario.seed = seed.unwrap_or(scenario.seed);
             scenario.check()?;
-            let (mut report, begun) = (Map::new(), Instant::now());
-            if part != Part::Hollow {
-                let real = play_real(&scenario, proxy_program, !without_hollow)?;
+            let (mut report, started_at) = (Map::new(), Instant::now());
+            if part != Part::Simulated {
+                let real = run_real(&scenario, proxy_program, !without_simulated)?;
                 print!("{real}");
                 report.insert("real".to_string(), rounded(to_value(real)?));
             }
             if part != Part::Real {
-                let hollow = play_simulated(&scenario, begun)?;
-                print!("{hollow}");
-                report.insert("hollow".to_string(), rounded(to_value(hollow)?));
+                let simulated = run_simulated(&scenario, started_at)?;
+                print!("{simulated}");
+                report.insert("hollow".to_string(), rounded(to_value(simulated)?));
             }
             match json {
                 Some(path) => std::fs::write(&path, serde_json::to_vec(&report)?)
@@ -214,21 +215,21 @@
     }
 }
 
-/// Begins no size once the time of the whole run is over.
-fn play_simulated(scenario: &Scenario, begun: Instant) -> anyhow::Result<SimulatedPart> {
+/// Runs the simulated part. Starts no further size once the time limit of the whole run is over.
+fn run_simulated(scenario: &Scenario, started_at: Instant) -> anyhow::Result<SimulatedPart> {
     let mut sizes = Vec::new();
     for &size in &scenario.sizes {
         let limit = scenario.limits.run_s;
-        if begun.elapsed().as_secs_f64() > limit {
+        if started_at.elapsed().as_secs_f64() > limit {
             bail!("limits.run_s: the run is not over after {limit} s");
         }
-        tracing::info!("size {size}: hollow part");
+        tracing::info!("size {size}: running the simulated part");
         sizes.push(simulated::run(scenario, size, scenario.seed)?);
     }
     Ok(SimulatedPart::new(sizes))
 }
 
-fn play_real(scenario: &Scenario, proxy_program: PathBuf, with_simulated: bool) -> anyhow::Result<Real> {
+fn run_real(scenario: &Scenario, proxy_program: PathBuf, with_simulated: bool) -> anyhow::Result<Real> {
     real::check(scenario, with_simulated)?;
     if !proxy_program.is_file() {
         bail!("--proxy: {}: no such program", proxy_program.display());
@@ -236,9 +237,9 @@
     let options = real::Options {
         seed: scenario.seed,
         proxy_program,
-        program: std::env::current_exe().context("this program's own path")?,
+        program: std::env::current_exe().context("path of this executable")?,
         with_simulated,
-        time: Duration::from_secs_f64(scenario.limits.run_s),
+        run_timeout: Duration::from_secs_f64(scenario.limits.run_s),
     };
     let machine = Machine {
         cores: std::thread::available_parallelism().map_or(1, usize::from),
--- a/crates/scale-test/src/real/backends.rs
+++ b/crates/scale-test/src/real/backends.rs
@@ -1,5 +1,7 @@
-//! Simulated backends: many listeners in one process that serve, are unresponsive, are gone or are warming up.
-//! One that is to call another does so as a client of the next proxy, with the time that is left.
+//! Simulated backends: many listeners in one process, each of which serves, warms up, is unresponsive or is stopped.
+//!
+//! A request may ask its backend to call further hops. The backend then acts as a client of the next proxy and passes
+//! on the time that remains until the deadline.
 
 use super::client::{Answer, Call, Client};
 use super::loopback;
@@ -21,108 +23,108 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
-/// Connections that the system keeps waiting to be accepted.
-const QUEUE: u32 = 1024;
-/// So much of the time that is left is kept from the next hop, for the way back.
-const MARGIN: Duration = Duration::from_millis(1);
+/// The backlog of a listener: connections that wait in the kernel to be accepted.
+const ACCEPT_QUEUE_LENGTH: u32 = 1024;
+/// The part of the remaining time that is not passed to the next hop but reserved for returning its response.
+const NEXT_HOP_MARGIN: Duration = Duration::from_millis(1);
 
-/// What a backend does.
+/// The state of a backend's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Answers.
+    /// Answers requests.
     Serving,
-    /// Keeps connections open and says nothing; new ones never come up.
+    /// Keeps connections open without responding, and new connections are never established.
     Unresponsive,
-    /// Its process is gone: connections are reset, new ones refused.
-    Gone,
+    /// Has no process: open connections are reset and new ones are refused.
+    Stopped,
 }
 
-/// What all of them have in common.
-pub struct Work {
-    /// Time that a warm one works on a call.
-    pub warm: Duration,
-    /// Time that one works at its start, which falls to that of a warm one.
-    pub cold: Duration,
-    /// How long that takes.
-    pub cold_for: Duration,
-    /// A draining one may be sent to for so long after the change.
+/// The configuration that all backends share.
+pub struct BackendConfig {
+    /// The service time of a warm backend.
+    pub warm_service_time: Duration,
+    /// The service time of a backend that has just started. It falls linearly to that of a warm one.
+    pub cold_service_time: Duration,
+    /// The time from the start of a backend until it is warm.
+    pub warm_up: Duration,
+    /// The time for which a backend may still receive requests after it began to drain.
     pub drain_deadline: Duration,
 }
 
-/// Where calls go on to.
-pub struct Next {
-    /// Through proxies.
+/// The addresses to which backends send calls for further hops.
+pub struct NextHops {
+    /// Proxies, for calls that go through proxies.
     pub proxies: Vec<SocketAddr>,
-    /// Straight to backends.
+    /// Backends, for direct calls.
     pub backends: Vec<SocketAddr>,
 }
 
-/// An address that is still held is tried again so often.
+/// The number of retries, 10 ms apart, of a bind to an address that is still in use.
 const BIND_RETRIES: usize = 500;
 
-/// Counts over all backends.
+/// Counters over all backends.
 #[derive(Default)]
 pub struct Counts {
-    /// Calls that came through proxies.
+    /// Requests that came through proxies.
     pub calls: AtomicU64,
-    /// Those of them that came to a backend past its drain deadline.
+    /// Requests through proxies that reached a backend after its drain deadline.
     pub late_to_draining: AtomicU64,
-    /// Connections.
+    /// Accepted connections.
     pub connections: AtomicU64,
 }
 
 struct Common {
-    work: Work,
+    config: BackendConfig,
     counts: Counts,
     client: Client,
-    next: OnceLock<Next>,
-    turn: AtomicU64,
+    next_hops: OnceLock<NextHops>,
+    next_hop_index: AtomicU64,
 }
 
-/// One of them.
+/// A simulated backend.
 pub struct Backend {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     mode: watch::Sender<Mode>,
-    since: Mutex<Since>,
+    timestamps: Mutex<Timestamps>,
 }
 
 #[derive(Default)]
-struct Since {
-    started: Option<Instant>,
-    draining: Option<Instant>,
+struct Timestamps {
+    started_at: Option<Instant>,
+    draining_since: Option<Instant>,
 }
 
-/// All of them; they end when it is dropped.
+/// The simulated backends of a run. They stop when this is dropped.
 pub struct Backends {
-    /// By number.
+    /// All backends, by number.
     pub all: Vec<Arc<Backend>>,
     common: Arc<Common>,
     tasks: JoinSet<()>,
 }
 
 impl Backends {
-    /// Starts so many, warm.
+    /// Starts `count` warm backends.
     ///
     /// # Errors
     ///
-    /// If an address can't be listened on.
-    pub fn start(count: usize, work: Work) -> io::Result<Self> {
+    /// Returns an error if an address can't be listened on.
+    pub fn start(count: usize, config: BackendConfig) -> io::Result<Self> {
         let common = Common {
-            work,
+            config,
             counts: Counts::default(),
             client: Client::new(1 << 48),
-            next: OnceLock::new(),
-            turn: AtomicU64::new(0),
+            next_hops: OnceLock::new(),
+            next_hop_index: AtomicU64::new(0),
         };
         let (common, mut tasks) = (Arc::new(common), JoinSet::new());
         let mut all = Vec::new();
         for number in 0..count {
-            let listener = listen((loopback(3, number), 0).into(), QUEUE)?;
+            let listener = listen((loopback(3, number), 0).into(), ACCEPT_QUEUE_LENGTH)?;
             let backend = Arc::new(Backend {
                 address: listener.local_addr()?,
                 mode: watch::Sender::new(Mode::Serving),
-                since: Mutex::default(),
+                timestamps: Mutex::default(),
             });
             tasks.spawn(backend.clone().run(listener, common.clone()));
             all.push(backend);
@@ -130,18 +132,18 @@
         Ok(Backends { all, common, tasks })
     }
 
-    /// Tells them where calls go on to; holds from the first time on.
-    pub fn connect(&self, next: Next) {
-        // A second time changes nothing, as said.
-        let _ = self.common.next.set(next);
+    /// Sets the addresses for calls to further hops. Only the first call has an effect.
+    pub fn set_next_hops(&self, next_hops: NextHops) {
+        // `set` fails if the addresses were set before, and leaves them unchanged.
+        let _ = self.common.next_hops.set(next_hops);
     }
 
-    /// What has come.
+    /// Returns the counters over all backends.
     pub fn counts(&self) -> &Counts {
         &self.common.counts
     }
 
-    /// How many run.
+    /// Returns the number of running backend tasks.
     pub fn running(&self) -> usize {
         self.tasks.len()
     }
@@ -154,74 +156,76 @@
     socket.listen(queue)
 }
 
-/// What stands at a backend's address.
+/// The listening socket at a backend's address.
 enum ListenerState {
     Open(TcpListener),
-    /// A listener whose queue of one is full, by a connection that nobody takes: the system drops what else comes.
-    /// If another client has the place, the task waits in vain and is ended with the rest.
+    /// A listener that accepts nothing and whose backlog of one is filled by a connection of this program, so that the
+    /// kernel drops all further connection attempts. If another client takes the place in the backlog first, the task
+    /// of this connection waits until it is aborted with the others.
     Blocked {
         _listener: TcpListener,
-        _filler: JoinSet<()>,
+        _connection: JoinSet<()>,
     },
-    Shut,
+    Closed,
 }
 
 impl ListenerState {
-    /// The state for a mode. One whose address can't be had is shut, which the log says. A process that is just being
-    /// started holds all that this one had open for a moment, an old listener too: that is waited out.
-    async fn of(mode: Mode, address: SocketAddr) -> Self {
-        let mut listener_state = ListenerState::at_once(mode, address);
+    /// Returns the listener state for a mode. If the address can't be bound, the state is `Closed` and the error is
+    /// logged. The bind is retried while the address is in use, because a child process that is just being started
+    /// briefly inherits all descriptors of this process, the old listener among them.
+    async fn for_mode(mode: Mode, address: SocketAddr) -> Self {
+        let mut listener_state = ListenerState::try_for_mode(mode, address);
         for _ in 0..BIND_RETRIES {
             if !listener_state.as_ref().is_err_and(|e| e.kind() == io::ErrorKind::AddrInUse) {
                 break;
             }
             sleep(Duration::from_millis(10)).await;
-            listener_state = ListenerState::at_once(mode, address);
+            listener_state = ListenerState::try_for_mode(mode, address);
         }
         listener_state.unwrap_or_else(|e| {
-            tracing::warn!("{address}: {e}");
-            ListenerState::Shut
+            tracing::warn!("backend {address}: can't listen, connections will be refused: {e}");
+            ListenerState::Closed
         })
     }
 
-    fn at_once(mode: Mode, address: SocketAddr) -> io::Result<Self> {
+    fn try_for_mode(mode: Mode, address: SocketAddr) -> io::Result<Self> {
         match mode {
-            Mode::Serving => listen(address, QUEUE).map(ListenerState::Open),
+            Mode::Serving => listen(address, ACCEPT_QUEUE_LENGTH).map(ListenerState::Open),
             Mode::Unresponsive => listen(address, 0).map(|listener| {
-                let mut filler = JoinSet::new();
-                filler.spawn(async move {
+                let mut connection = JoinSet::new();
+                connection.spawn(async move {
                     let _held = TcpStream::connect(address).await;
                     std::future::pending().await
                 });
-                ListenerState::Blocked { _listener: listener, _filler: filler }
+                ListenerState::Blocked { _listener: listener, _connection: connection }
             }),
-            Mode::Gone => Ok(ListenerState::Shut),
+            Mode::Stopped => Ok(ListenerState::Closed),
         }
     }
 
     async fn accept(&self) -> io::Result<TcpStream> {
         match self {
             ListenerState::Open(listener) => listener.accept().await.map(|(stream, _)| stream),
-            ListenerState::Blocked { .. } | ListenerState::Shut => std::future::pending().await,
+            ListenerState::Blocked { .. } | ListenerState::Closed => std::future::pending().await,
         }
     }
 }
 
 impl Backend {
-    /// Changes what it does.
-    pub fn set(&self, mode: Mode) {
+    /// Changes the mode of the backend.
+    pub fn set_mode(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
-    /// It is a new process from now on: cold.
+    /// Makes the backend count as a new, cold process from now on.
     pub fn restart(&self) {
-        let mut since = self.since.lock().unwrap_or_else(PoisonError::into_inner);
-        *since = Since { started: Some(Instant::now()), draining: None };
+        let mut timestamps = self.timestamps.lock().unwrap_or_else(PoisonError::into_inner);
+        *timestamps = Timestamps { started_at: Some(Instant::now()), draining_since: None };
     }
 
-    /// The list says from now on that it drains.
+    /// Records that the endpoint list marks the backend as draining from now on.
     pub fn drain(&self) {
-        self.since.lock().unwrap_or_else(PoisonError::into_inner).draining = Some(Instant::now());
+        self.timestamps.lock().unwrap_or_else(PoisonError::into_inner).draining_since = Some(Instant::now());
     }
 
     async fn run(self: Arc<Self>, listener: TcpListener, common: Arc<Common>) {
@@ -232,17 +236,17 @@
                     if changed.is_err() {
                         return;
                     }
-                    // The old one has to let go of the address first.
-                    drop(std::mem::replace(&mut listener_state, ListenerState::Shut));
+                    // The old listener must release the address before the new one binds to it.
+                    drop(std::mem::replace(&mut listener_state, ListenerState::Closed));
                     let mode = *mode.borrow_and_update();
-                    listener_state = ListenerState::of(mode, self.address).await;
+                    listener_state = ListenerState::for_mode(mode, self.address).await;
                 }
                 accepted = listener_state.accept() => match accepted {
                     Ok(stream) => {
                         common.counts.connections.fetch_add(1, Relaxed);
                         tokio::spawn(self.clone().connection(stream, common.clone()));
                     }
-                    // Descriptors, which come free again.
+                    // The process is out of file descriptors; retry, because others will be closed.
                     Err(_) => sleep(Duration::from_millis(10)).await,
                 }
             }
@@ -250,15 +254,16 @@
     }
 
     async fn connection(self: Arc<Self>, stream: TcpStream, common: Arc<Common>) {
-        // The first only makes answers quicker; by the second its end is a reset, as when a process is gone.
+        // TCP_NODELAY only reduces latency. With a linger time of zero the close sends a reset, as the end of a
+        // process does.
         let _ = (stream.set_nodelay(true), stream.set_zero_linger());
         let mut mode = self.mode.subscribe();
         let service = service_fn(|request| self.answer(request, &common));
         let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::select! {
-            // Its client has gone, as clients may.
+            // The client closed the connection.
             _ = connection => {}
-            _ = mode.wait_for(|mode| *mode == Mode::Gone) => {}
+            _ = mode.wait_for(|mode| *mode == Mode::Stopped) => {}
         }
     }
 
@@ -269,14 +274,15 @@
         let query = Query::parse(head.uri.query().unwrap_or_default());
         if !query.direct {
             common.counts.calls.fetch_add(1, Relaxed);
-            let draining = self.since.lock().unwrap_or_else(PoisonError::into_inner).draining;
-            if draining.is_some_and(|since| since.elapsed() > common.work.drain_deadline) {
+            let draining_since =
+                self.timestamps.lock().unwrap_or_else(PoisonError::into_inner).draining_since;
+            if draining_since.is_some_and(|since| since.elapsed() > common.config.drain_deadline) {
                 common.counts.late_to_draining.fetch_add(1, Relaxed);
             }
         }
-        let work = self.work(&common.work);
-        if !work.is_zero() {
-            sleep(work).await;
+        let service_time = self.service_time(&common.config);
+        if !service_time.is_zero() {
+            sleep(service_time).await;
         }
         let status = match query.hops {
             0 => StatusCode::OK,
@@ -285,7 +291,7 @@
                     .await
             }
         };
-        // One that is unresponsive answers once it is heard again, if its client still waits.
+        // An unresponsive backend responds once its mode changes, if the client still waits.
         let mut mode = self.mode.subscribe();
         let _ = mode.wait_for(|mode| *mode != Mode::Unresponsive).await;
         let mut reply = Response::new(Full::from("served"));
@@ -293,16 +299,17 @@
         Ok(reply)
     }
 
-    /// How long it works on a call now.
-    fn work(&self, work: &Work) -> Duration {
-        let since = self.since.lock().unwrap_or_else(PoisonError::into_inner).started;
-        let age = since.map_or(1.0, |since| {
-            since.elapsed().as_secs_f64() / work.cold_for.as_secs_f64().max(f64::MIN_POSITIVE)
+    /// Returns the current service time, which depends on the time since the start of the backend.
+    fn service_time(&self, config: &BackendConfig) -> Duration {
+        let started_at = self.timestamps.lock().unwrap_or_else(PoisonError::into_inner).started_at;
+        let age = started_at.map_or(1.0, |started_at| {
+            started_at.elapsed().as_secs_f64() / config.warm_up.as_secs_f64().max(f64::MIN_POSITIVE)
         });
-        work.warm + work.cold.saturating_sub(work.warm).mul_f64((1.0 - age).max(0.0))
+        config.warm_service_time
+            + config.cold_service_time.saturating_sub(config.warm_service_time).mul_f64((1.0 - age).max(0.0))
     }
 
-    /// The next hop's answer decides this one's.
+    /// Calls the next hop, and returns 200 if it was served and 500 otherwise.
     async fn call_next_hop(
         &self,
         headers: &HeaderMap,
@@ -312,49 +319,52 @@
         received: Instant,
         common: &Common,
     ) -> StatusCode {
-        let Some(next) = common.next.get() else { return StatusCode::INTERNAL_SERVER_ERROR };
-        let to = if query.direct { &next.backends } else { &next.proxies };
-        let turn = common.turn.fetch_add(1, Relaxed) as usize;
-        let Some(&to) = to.get(turn % to.len().max(1)) else { return StatusCode::INTERNAL_SERVER_ERROR };
-        let told = headers.get("req-deadline-ms").and_then(|value| value.to_str().ok()?.parse().ok());
-        let left = Duration::from_millis(told.unwrap_or(0)).saturating_sub(received.elapsed() + MARGIN);
+        let Some(next_hops) = common.next_hops.get() else { return StatusCode::INTERNAL_SERVER_ERROR };
+        let addresses = if query.direct { &next_hops.backends } else { &next_hops.proxies };
+        let index = common.next_hop_index.fetch_add(1, Relaxed) as usize;
+        let Some(&address) = addresses.get(index % addresses.len().max(1)) else {
+            return StatusCode::INTERNAL_SERVER_ERROR;
+        };
+        let deadline_ms = headers.get("req-deadline-ms").and_then(|value| value.to_str().ok()?.parse().ok());
+        let remaining = Duration::from_millis(deadline_ms.unwrap_or(0))
+            .saturating_sub(received.elapsed() + NEXT_HOP_MARGIN);
         let call = Call {
             class: path.trim_start_matches('/').to_string(),
             method: method.clone(),
-            keyed: headers.contains_key("idempotency-key"),
+            has_idempotency_key: headers.contains_key("idempotency-key"),
             query: Query { hops: query.hops - 1, direct: query.direct }.text(),
-            time_limit: left,
+            time_limit: remaining,
         };
-        match common.client.call(to, &call).await {
+        match common.client.call(address, &call).await {
             Answer::Served => StatusCode::OK,
             _ => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
 }
 
-/// What a backend is asked to do with a request.
+/// The instructions to a backend in the query of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Query {
-    /// Calls that are to follow, one behind the other.
+    /// The number of further hops, each called by the one before.
     pub hops: usize,
-    /// Whether they go straight to backends.
+    /// Whether further hops are called directly instead of through proxies.
     pub direct: bool,
 }
 
 impl Query {
-    /// As it stands in a request; what can't be read counts as not there.
+    /// Parses the query of a request. Parameters that are missing or invalid count as 0.
     pub fn parse(text: &str) -> Self {
-        let figure = |name: &str| {
+        let number = |name: &str| {
             let mut pairs = text.split('&').filter_map(|pair| pair.split_once('='));
             pairs
                 .find(|(key, _)| *key == name)
                 .and_then(|(_, value)| value.parse::<usize>().ok())
                 .unwrap_or(0)
         };
-        Query { hops: figure("hops"), direct: figure("direct") != 0 }
+        Query { hops: number("hops"), direct: number("direct") != 0 }
     }
 
-    /// The text.
+    /// Formats the instructions as the query of a request.
     pub fn text(self) -> String {
         format!("hops={}&direct={}", self.hops, u8::from(self.direct))
     }
--- a/crates/scale-test/src/real/load.rs
+++ b/crates/scale-test/src/real/load.rs
@@ -1,4 +1,5 @@
-//! Calls at random instants at a given rate, whatever becomes of them, and what becomes of them.
+//! An open-loop load generator: it sends calls at random times at a given rate, regardless of the outcome of earlier
+//! calls, and records the outcomes.
 
 use super::backends::Query;
 use super::client::{Answer, Call, Client};
@@ -14,132 +15,133 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep_until};
 
-/// A class of calls.
+/// A request class.
 #[derive(Debug, Clone)]
 pub struct Class {
-    /// Its call, without the hops.
+    /// The call that is sent, without the query for further hops.
     pub call: Call,
-    /// Share of all calls.
-    pub share: f64,
-    /// Worth of an answer in time.
+    /// The share of calls of this class, relative to the other classes.
+    pub call_share: f64,
+    /// The worth of a response within the latency objective.
     pub priority_weight: f64,
-    /// In time is within this.
+    /// The latency objective.
     pub latency_objective: Duration,
-    /// Share of the worth that a later answer still has.
+    /// The fraction of the worth that a response after the latency objective still has.
     pub late_worth: f64,
 }
 
-/// Who calls whom.
+/// The configuration of the load.
 pub struct Load {
-    /// Keeps the connections.
+    /// The client, which keeps the connections.
     pub client: Arc<Client>,
-    /// What is called.
+    /// The request classes.
     pub classes: Vec<Class>,
-    /// Calls one behind the other, of which each call draws one.
+    /// The numbers of chained hops, of which each call draws one at random.
     pub depths: Vec<usize>,
-    /// Through proxies.
+    /// The proxies, for calls through proxies.
     pub proxies: Vec<SocketAddr>,
-    /// Straight to backends.
+    /// The backends, for direct calls.
     pub backends: Vec<SocketAddr>,
-    /// A call that is sent so much after its instant is late.
-    pub late: Duration,
+    /// A call counts as late if it is sent more than this after its scheduled time.
+    pub late_after: Duration,
 }
 
-/// What became of calls.
+/// The outcomes of the calls of a load.
 #[derive(Debug, Clone)]
 pub struct LoadMetrics {
-    /// Calls of clients.
+    /// Calls through proxies.
     pub asked: u64,
-    /// Those served.
+    /// Served calls.
     pub served: u64,
-    /// Rejected.
+    /// Rejected calls.
     pub refused: u64,
-    /// Failed.
+    /// Failed calls.
     pub failed: u64,
-    /// Without an answer in time.
+    /// Calls without a complete response within the time limit.
     pub timed_out: u64,
-    /// Those asked and served, by depth.
+    /// Calls and served calls, by depth.
     pub by_depth: BTreeMap<usize, (u64, u64)>,
-    /// Hops that they were to make.
+    /// The sum of the depths of all calls, which is the number of hops to be made.
     pub hops: u64,
-    /// All calls that were sent, straight ones too.
+    /// All calls that were sent, including direct ones.
     pub sent: u64,
-    /// Sent late: the machine does not carry the load's generator.
+    /// Calls that were sent late, which shows that the machine is too slow for the load generator.
     pub late: u64,
-    /// Worth of all of them.
+    /// The worth of all calls.
     pub worth: f64,
-    /// Worth of the answers.
-    pub earned: f64,
-    /// Times to an answer that served, in microseconds, by depth and whether straight to backends.
+    /// The worth of the responses.
+    pub worth_earned: f64,
+    /// The latencies of served calls in microseconds, by depth and by whether the call was direct.
     pub times: BTreeMap<(usize, bool), Histogram<u64>>,
 }
 
-struct Ended {
+struct CompletedCall {
     class: usize,
     query: Query,
     answer: Answer,
-    took: Duration,
-    late: bool,
+    latency: Duration,
+    is_late: bool,
 }
 
 impl Load {
-    /// Calls at so many hops a second for so long through proxies, and where told as many straight to backends, and
-    /// waits for all answers. Those through proxies and those straight ones are told apart in the times alone; the
-    /// counts are of those through proxies.
+    /// Sends calls through proxies at `hops_per_s` for `duration`, with `with_direct_calls` also about as many directly
+    /// to backends, and waits for all outcomes. Apart from `sent` and `late`, the counters include only the calls
+    /// through proxies; direct calls appear in `times` under their own keys.
     pub async fn run(
         self: &Arc<Self>,
         seed: u64,
         hops_per_s: f64,
-        time: Duration,
-        direct: bool,
+        duration: Duration,
+        with_direct_calls: bool,
     ) -> LoadMetrics {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut metrics = LoadMetrics::new();
-        let depth = self.depths.iter().sum::<usize>() as f64 / self.depths.len().max(1) as f64;
-        let rate = hops_per_s / depth.max(1.0) * if direct { 2.0 } else { 1.0 };
-        // A rate of 0 or less gives no gaps, and so no calls.
+        let mean_depth = self.depths.iter().sum::<usize>() as f64 / self.depths.len().max(1) as f64;
+        let rate = hops_per_s / mean_depth.max(1.0) * if with_direct_calls { 2.0 } else { 1.0 };
+        // No calls are sent at a rate of 0 or less.
         let Some(gaps) = Exp::new(rate).ok().filter(|_| rate > 0.0 && !self.classes.is_empty()) else {
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(duration).await;
             return metrics;
         };
         let (mut calls, begin) = (JoinSet::new(), Instant::now());
         let mut due = begin;
         loop {
             due += Duration::from_secs_f64(gaps.sample(&mut rng));
-            if due >= begin + time {
+            if due >= begin + duration {
                 break;
             }
             sleep_until(due).await;
             let Some(&depth) = self.depths.choose(&mut rng) else { break };
-            let query = Query { hops: depth - 1, direct: direct && rng.random() };
-            let to = if query.direct { &self.backends } else { &self.proxies };
-            let Some(&to) = to.choose(&mut rng) else { break };
-            let class = self.draw(&mut rng);
+            let query = Query { hops: depth - 1, direct: with_direct_calls && rng.random() };
+            let addresses = if query.direct { &self.backends } else { &self.proxies };
+            let Some(&address) = addresses.choose(&mut rng) else { break };
+            let class = self.draw_class(&mut rng);
             let load = self.clone();
             calls.spawn(async move {
                 let call = Call { query: query.text(), ..load.classes[class].call.clone() };
-                let (late, sent) = (due.elapsed() > load.late, Instant::now());
-                let answer = load.client.call(to, &call).await;
-                Ended { class, query, answer, took: sent.elapsed(), late }
+                let (is_late, sent_at) = (due.elapsed() > load.late_after, Instant::now());
+                let answer = load.client.call(address, &call).await;
+                CompletedCall { class, query, answer, latency: sent_at.elapsed(), is_late }
             });
-            while let Some(Ok(ended)) = calls.try_join_next() {
-                metrics.add(&self.classes[ended.class], &ended);
+            while let Some(Ok(completed)) = calls.try_join_next() {
+                metrics.add(&self.classes[completed.class], &completed);
             }
         }
-        while let Some(ended) = calls.join_next().await {
-            // A task that panicked would be this program's fault, and its call is missed in the sum.
-            if let Ok(ended) = ended {
-                metrics.add(&self.classes[ended.class], &ended);
+        while let Some(completed) = calls.join_next().await {
+            // A task fails only by a panic, which would be a fault of this program; its call is then not counted.
+            if let Ok(completed) = completed {
+                metrics.add(&self.classes[completed.class], &completed);
             }
         }
         metrics
     }
 
-    fn draw(&self, rng: &mut StdRng) -> usize {
-        let mut at = rng.random::<f64>() * self.classes.iter().map(|c| c.share).sum::<f64>();
+    fn draw_class(&self, rng: &mut StdRng) -> usize {
+        let mut remaining_share =
+            rng.random::<f64>() * self.classes.iter().map(|c| c.call_share).sum::<f64>();
         let found = self.classes.iter().position(|class| {
-            at -= class.share;
-            at < 0.0
+            remaining_share -= class.call_share;
+            remaining_share < 0.0
         });
         found.unwrap_or(0)
     }
@@ -158,34 +160,34 @@
             sent: 0,
             late: 0,
             worth: 0.0,
-            earned: 0.0,
+            worth_earned: 0.0,
             times: BTreeMap::new(),
         }
     }
 
-    fn add(&mut self, class: &Class, ended: &Ended) {
-        let depth = ended.query.hops + 1;
+    fn add(&mut self, class: &Class, completed: &CompletedCall) {
+        let depth = completed.query.hops + 1;
         self.sent += 1;
-        self.late += u64::from(ended.late);
-        if ended.answer == Answer::Served {
-            let times = self.times.entry((depth, ended.query.direct)).or_insert_with(super::histogram);
-            times.saturating_record(ended.took.as_micros() as u64);
+        self.late += u64::from(completed.is_late);
+        if completed.answer == Answer::Served {
+            let times = self.times.entry((depth, completed.query.direct)).or_insert_with(super::histogram);
+            times.saturating_record(completed.latency.as_micros() as u64);
         }
-        if ended.query.direct {
+        if completed.query.direct {
             return;
         }
         self.asked += 1;
         self.hops += depth as u64;
         self.worth += class.priority_weight;
         let (asked, served) = self.by_depth.entry(depth).or_default();
-        (*asked, *served) = (*asked + 1, *served + u64::from(ended.answer == Answer::Served));
-        match ended.answer {
+        (*asked, *served) = (*asked + 1, *served + u64::from(completed.answer == Answer::Served));
+        match completed.answer {
             Answer::Served => {
                 self.served += 1;
-                self.earned += class.priority_weight
-                    * if ended.took <= class.latency_objective { 1.0 } else { class.late_worth };
+                self.worth_earned += class.priority_weight
+                    * if completed.latency <= class.latency_objective { 1.0 } else { class.late_worth };
             }
-            Answer::Refused => self.refused += 1,
+            Answer::Rejected => self.refused += 1,
             Answer::Failed => self.failed += 1,
             Answer::TimedOut => self.timed_out += 1,
         }
