--- a/crates/balancer/src/collections/random_pair.rs
+++ b/crates/balancer/src/collections/random_pair.rs
@@ -1,6 +1,6 @@
 //! Random selection of two items.
 
-/// Draws up to `max_draws` times from some items until two different eligible ones are found. Returns the
+/// Draws up to `draws` times from some items until two different eligible ones are found. Returns the
 /// first, and the second if there is one.
 pub fn random_pair<T: Copy + PartialEq>(
     rng: &mut fastrand::Rng,
--- a/crates/balancer/tests/support/harness.rs
+++ b/crates/balancer/tests/support/harness.rs
@@ -79,7 +79,7 @@
     pub settings: Settings,
     pub now_ms: f64,
     pub requests: BTreeMap<RequestId, RequestRecord>,
-    /// The last state of each endpoint that was ever listed; removed ones have the phase `Gone`.
+    /// The last state of each endpoint that was ever listed; removed ones have the phase `Removed`.
     pub known_endpoints: HashMap<BackendId, EndpointInfo>,
     pub polled_at_ms: Vec<f64>,
     /// Backends that operators have suspended.
