--- a/crates/discovery-client/src/follower.rs
+++ b/crates/discovery-client/src/follower.rs
@@ -36,7 +36,7 @@
     fn on_recovery(&self, outage: PollOutage);
     /// Called when a poll returned a valid response.
     fn on_poll_answered(&self) {}
-    /// Called on each failed poll with the failures since the last successful one.
+    /// Called after each failed poll with the failures since the last successful one.
     fn on_outage(&self, _outage: PollOutage, _error: &DiscoveryError) {}
 }
 
--- a/crates/discovery-client/src/lib.rs
+++ b/crates/discovery-client/src/lib.rs
@@ -1,5 +1,5 @@
 //! A client of the discovery service that polls the endpoint list and watches it for changes. The proxy
-//! follows discovery with it, and so does the scale test, whose simulated proxies must make the same calls.
+//! follows discovery with it, and so does the scale test, whose simulated proxies must make the same polls.
 
 mod client;
 mod endpoint_list;
--- a/crates/discovery-client/src/outage.rs
+++ b/crates/discovery-client/src/outage.rs
@@ -31,7 +31,7 @@
 }
 
 impl CurrentOutage {
-    /// Starts an outage now, without a counted failure.
+    /// Creates an outage that starts now and has no counted failure.
     pub(crate) fn new(error: &DiscoveryError) -> Self {
         CurrentOutage {
             started_at: Instant::now(),
--- a/crates/discovery-client/src/overdue_polls.rs
+++ b/crates/discovery-client/src/overdue_polls.rs
@@ -16,7 +16,7 @@
 
 /// The overdue polls that are still awaited, oldest first.
 ///
-/// If discovery is always equally slow, it answers the oldest poll first. That call may have been lost,
+/// If discovery is always equally slow, it answers the oldest poll first. That poll may have been lost,
 /// however, so newer polls must be given time as well, whether discovery takes one second or many. The ages
 /// of the polls that are kept therefore grow approximately as powers of two.
 #[derive(Debug, Default)]
--- a/crates/discovery-client/src/poll_gate.rs
+++ b/crates/discovery-client/src/poll_gate.rs
@@ -33,12 +33,12 @@
         true
     }
 
-    /// Notes that a poll was answered.
+    /// Records that a poll was answered.
     pub(crate) fn on_answer(&mut self) {
         self.is_watching = true;
     }
 
-    /// Notes that a poll failed.
+    /// Records that a poll failed.
     pub(crate) fn on_failure(&mut self) {
         self.is_watching = false;
     }
--- a/crates/discovery-client/src/timeouts.rs
+++ b/crates/discovery-client/src/timeouts.rs
@@ -6,7 +6,7 @@
 /// [`NOTIFICATION_DEADLINE_MS`] in whole milliseconds.
 const DEADLINE_MS: u64 = NOTIFICATION_DEADLINE_MS as u64;
 
-/// The delay after which a response is considered lost: no call may wait longer than this at discovery.
+/// The delay after which a response is considered lost: no poll may wait longer than this at discovery.
 const LOST_RESPONSE_AFTER: Duration = Duration::from_secs(60);
 
 /// The timeouts of polls and watches.
@@ -27,7 +27,7 @@
     /// A response that starts this much later than the wait is overdue, and so is one whose remainder takes
     /// this long. Another poll is then sent while the overdue one is still awaited.
     pub(crate) response_timeout: Duration,
-    /// A response that is this much later than the wait is no longer awaited: the call must have been lost.
+    /// A response that is this much later than the wait is no longer awaited: the poll must have been lost.
     pub(crate) overdue_timeout: Duration,
     /// The minimum time between the starts of overdue polls that are still awaited.
     pub(crate) overdue_poll_spacing: Duration,
--- a/crates/proxy/src/admin/mod.rs
+++ b/crates/proxy/src/admin/mod.rs
@@ -1,5 +1,5 @@
 //! The admin API, with which operators suspend backends, drain the proxy, and query its readiness and
-//! settings. It passes requests on to the dispatcher and the process group and decides nothing itself.
+//! settings. It forwards requests to the dispatcher and the process group and decides nothing itself.
 
 mod routes;
 
@@ -123,8 +123,8 @@
                         // connection can replace it.
                         tokio::task::yield_now().await;
                     }
-                    // No error ends the loop, whether out of descriptors or other: callers are waiting, and
-                    // the resource that is short becomes available again.
+                    // No error ends the loop, not even a lack of descriptors: callers are waiting, and the
+                    // missing resource becomes available again.
                     Err(_) => {
                         close_oldest(&mut oldest_first);
                         sleep(ACCEPT_ERROR_PAUSE).await;
@@ -142,8 +142,8 @@
         });
         let mut builder = http1::Builder::new();
         let builder = builder.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
-        // The result is ignored: the request was answered, the caller has disconnected, or its time has run
-        // out.
+        // The result is ignored: the request was answered, the caller has disconnected, or its time limit has
+        // passed.
         let _ = timeout(REQUEST_TIMEOUT, builder.serve_connection(TokioIo::new(stream), service)).await;
     }
 
--- a/crates/proxy/src/dispatcher/actions.rs
+++ b/crates/proxy/src/dispatcher/actions.rs
@@ -109,8 +109,8 @@
         });
     }
 
-    /// Handles the end of an attempt. The first served response is passed to the client without a decision of
-    /// the balancer.
+    /// Handles the end of an attempt. The first served response is forwarded to the client without a decision
+    /// of the balancer.
     fn finish_attempt(self: &Rc<Self>, request: RequestId, number: usize, finished: FinishedAttempt) {
         let events = self.state.borrow_mut().finish_attempt(request, number, finished);
         for event in events {
@@ -132,8 +132,8 @@
             AttemptOutcome::InvalidRequest(status) => {
                 self.log_request(request, &format!("aborted by its client, {status}"));
             }
-            // The balancer may send another attempt at once when it gets this outcome, so it learns of the
-            // disconnect first.
+            // The balancer may send another attempt at once when it gets this outcome, so the disconnect is
+            // reported to it first.
             AttemptOutcome::Unserved(_) if self.complete_if_disconnected(request) => {
                 events.push(Event::ClientDisconnected { request });
             }
--- a/crates/proxy/src/dispatcher/mod.rs
+++ b/crates/proxy/src/dispatcher/mod.rs
@@ -1,5 +1,5 @@
 //! The sole owner of the balancer: converts socket events into balancer events, in order, and carries out its
-//! actions. Keeps the clock, the timers, the open requests and the endpoints.
+//! actions. It keeps the clock, the timers, the open requests and the endpoints.
 
 mod actions;
 mod clock;
--- a/crates/proxy/src/dispatcher/request_table.rs
+++ b/crates/proxy/src/dispatcher/request_table.rs
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Returns the guard that tells an attempt whether it may be sent, or `None` if no answer is pending.
+    /// Returns the guard that determines whether an attempt may be sent, or `None` if no answer is pending.
     pub(super) fn send_guard(&self) -> Option<WeakSendGuard> {
         match &self.response {
             ResponseSlot::Pending { is_client_connected, .. } => Some(Rc::downgrade(is_client_connected)),
--- a/crates/proxy/src/dispatcher/requests.rs
+++ b/crates/proxy/src/dispatcher/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request in the dispatcher, from its arrival to its final answer.
+//! The lifecycle of a request in the dispatcher, from its arrival to its final answer.
 
 use super::endpoint_table::hash_str;
 use super::messages::{Answer, IncomingRequest};
@@ -113,7 +113,8 @@
     }
 }
 
-/// A waiting client. If this is dropped while the answer is pending, the balancer is told of the disconnect.
+/// A waiting client. If this is dropped while the answer is pending, the disconnect is reported to the
+/// balancer.
 struct ClientGuard {
     dispatcher: Rc<Dispatcher>,
     request: RequestId,
--- a/crates/proxy/src/downstream/accept_queue.rs
+++ b/crates/proxy/src/downstream/accept_queue.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Returns the earliest time at which a connection in the queue can have arrived, or `None` if the system
+    /// Returns the earliest time at which a connection in the queue can have arrived, or `None` if the kernel
     /// does not timestamp received bytes.
     pub(super) fn waiting_since(&self) -> Option<Instant> {
         if self.has_arrival_timestamps { Some(self.last_empty_at.get()) } else { None }
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -298,8 +298,8 @@
         let has_body = !body.is_end_stream();
         let settings = self.server.dispatcher.settings();
         let mut parsed = parse_head(&settings, &head, has_body)?;
-        // A second open request with the same id could not be told from a repeat of the first, so it is
-        // rejected.
+        // A second open request with the same id could not be distinguished from a repeat of the first, so it
+        // is rejected.
         let guard = RequestIdGuard::new(&self.server.table, &parsed.id);
         let mut guard = guard.ok_or_else(|| Box::new(empty_response(StatusCode::CONFLICT)))?;
         let uri = head.uri.path_and_query().cloned().map(Uri::from).ok_or_else(bad_request)?;
--- a/crates/proxy/src/downstream/connection_table.rs
+++ b/crates/proxy/src/downstream/connection_table.rs
@@ -39,7 +39,7 @@
 pub(super) enum IdleKind {
     /// It is being closed already.
     Closing,
-    /// Its time for the first byte or for the head has run out.
+    /// Its time limit for the first byte or for the head has passed.
     Stalled,
     /// Its earlier requests were answered but never served, and it sends nothing.
     Rejected,
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -25,10 +25,10 @@
 const QUEUED_READ_BYTES: usize = 16 * 1024;
 /// Delay after a failed accept.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(10);
-/// Time without room for another connection after which connections are evicted that may be about to send.
-/// Connections that are being rejected usually make room earlier by closing.
+/// Time without room for another connection, after which even connections that may be about to send are
+/// evicted. Connections that are being rejected usually make room earlier by closing.
 const FORCED_EVICTION_DELAY: Duration = Duration::from_millis(5);
-/// The number of connections that are evicted then at once.
+/// The number of connections that are evicted at once after [`FORCED_EVICTION_DELAY`].
 const FORCED_EVICTION_COUNT: usize = MAX_REJECTING_CONNECTIONS / 2;
 
 /// Accepts and serves connections as `phase` directs, and returns when the last one is closed. No connection
@@ -70,8 +70,8 @@
                         AcceptedConnection::new(server.clone(), stream, is_over_limit, waiting_since);
                     connections.spawn_local(connection.serve(connection_phase.clone()));
                 }
-                // No error ends the loop, whether out of descriptors or other: clients are waiting, and the
-                // resource that is short becomes available again.
+                // No error ends the loop, not even a lack of descriptors: clients are waiting, and the
+                // missing resource becomes available again.
                 Err(_) => {
                     server.statistics.record_error();
                     server.evict(EvictionPurpose::BlockedListener);
@@ -101,8 +101,8 @@
 }
 
 /// Accepts the connections that are still in the accept queue, and closes the listener. The reactor may not
-/// have reported all of them yet, and closing the listener resets those that remain. If descriptors are
-/// short, connections are evicted first, as for any new connection.
+/// have reported all of them yet, and closing the listener resets those that remain. If there are too few
+/// descriptors, connections are evicted first, as for any new connection.
 async fn accept_queued(
     server: &Rc<Server>,
     queue: AcceptQueue,
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -13,8 +13,8 @@
 
 thread_local! {
     /// Standard error, opened a second time so that `O_NONBLOCK` affects this program only: the inherited
-    /// descriptor shares its flags with the process that it comes from. `None` if it can't be opened again,
-    /// as for a socket.
+    /// descriptor shares its flags with the process that passed it. `None` if it can't be opened again, as
+    /// for a socket.
     static LOG: Option<File> =
         OpenOptions::new().append(true).custom_flags(O_NONBLOCK).open("/proc/self/fd/2").ok();
     /// The number of lines lost since the last written one.
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -39,7 +39,7 @@
 }
 
 async fn run() -> Result<(), ProxyError> {
-    // Signal handlers come first: a signal that arrives before them would end the process.
+    // The signal handlers are installed first: an earlier signal would end the process.
     let mut terminate = subscribe_to_signal("SIGTERM", SignalKind::terminate())?;
     let reload = subscribe_to_signal("SIGHUP", SignalKind::hangup())?;
     let (config, known_endpoints) = tokio::select! {
--- a/crates/proxy/src/process_group/process_file.rs
+++ b/crates/proxy/src/process_group/process_file.rs
@@ -1,4 +1,4 @@
-//! The file that shows that a process is alive. The process holds a lock on the file, which the system
+//! The file that shows that a process is alive. The process holds a lock on the file, which the kernel
 //! releases however the process ends.
 
 use super::names;
--- a/crates/proxy/src/resource_limits.rs
+++ b/crates/proxy/src/resource_limits.rs
@@ -9,9 +9,10 @@
 const RESERVED_DESCRIPTORS: usize = 16;
 /// Further descriptors for an admin API: its connections, its listener, and the folder of the marker files.
 const ADMIN_DESCRIPTORS: usize = admin::MAX_CONNECTIONS + 4;
-/// The minimum number of connections of a process, even if descriptors are short.
+/// The minimum number of connections of a process, even if there are too few descriptors.
 const MIN_CONNECTIONS: usize = 4;
-/// Connections past the limit, accepted only to be rejected, get at most this part (1/n) of the descriptors.
+/// Connections over the limit, which are accepted only to be rejected, get at most this fraction (1/n) of the
+/// descriptors.
 const REJECTING_DESCRIPTORS_DIVISOR: usize = 3;
 /// The bodies of open requests may use this fraction (1/n) of the memory; the rest is for buffers, responses
 /// and the program.
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! The steps of a planned stop: no longer ready, no new connections, idle connections closed, exit.
+//! The steps of a planned stop: the readiness check fails, no new connections are accepted, idle connections
+//! are closed, and the process exits.
 
 use crate::dispatcher::{Dispatcher, duration_from_ms};
 use crate::downstream::ListenerPhase;
--- a/crates/proxy/src/transport/arrival.rs
+++ b/crates/proxy/src/transport/arrival.rs
@@ -1,5 +1,5 @@
 //! The arrival times of unread bytes. Without them, bytes that arrived before their connection was accepted
-//! or read would be taken for new.
+//! or read would be taken for new ones.
 
 use super::client_socket::ClientSocket;
 use nix::sys::socket::sockopt::ReceiveTimestampns;
--- a/crates/proxy/src/transport/body.rs
+++ b/crates/proxy/src/transport/body.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct StreamedBody {
     frames: mpsc::Receiver<Option<Bytes>>,
-    /// The number of bytes still to come, if the length is known.
+    /// The number of bytes still to be received, if the length is known.
     remaining: Option<u64>,
 }
 
@@ -125,7 +125,8 @@
 }
 
 /// A request body that is streamed and can therefore be sent by only one attempt. It is dropped with its
-/// request, which closes the frame channel: the sender of the frames learns that they are no longer taken.
+/// request, which closes the frame channel: this shows the sender of the frames that they are no longer
+/// taken.
 pub struct StreamedUpload {
     body: RefCell<Option<StreamedBody>>,
     status: Rc<UploadStatus>,
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: when it expires, who may cancel it, and how it ended.
+//! One attempt of a request: its expiry, its cancellation and its outcome.
 
 use super::attempt_outcome::{AttemptOutcome, FinishedAttempt};
 use super::connection::{Connection, IdleCheck};
--- a/crates/proxy/src/upstream/attempt_outcome.rs
+++ b/crates/proxy/src/upstream/attempt_outcome.rs
@@ -22,7 +22,7 @@
     pub fn outcome(&self) -> Outcome {
         match self {
             AttemptOutcome::Served(_) => Outcome::Ok,
-            // The request is at fault: this tells nothing about the backend, and another backend would reject
+            // The request is at fault: this says nothing about the backend, and another backend would reject
             // it too.
             AttemptOutcome::Rejected | AttemptOutcome::InvalidRequest(_) => Outcome::Cancelled,
             AttemptOutcome::Unserved(outcome) => *outcome,
--- a/crates/proxy/src/upstream/connection_pool.rs
+++ b/crates/proxy/src/upstream/connection_pool.rs
@@ -26,7 +26,7 @@
     pub address: SocketAddr,
     /// When the process started according to discovery, in Unix milliseconds.
     pub started_at_ms: f64,
-    /// When this proxy learned that the process accepts no new requests.
+    /// When this proxy was notified that the process accepts no new requests.
     pub draining_since: Cell<Option<Instant>>,
     /// Whether the process sends copies of its responses.
     pub(super) repeat_history: Rc<RepeatHistory>,
@@ -48,7 +48,7 @@
     pub connect_timeout: Duration,
     /// The idle timeout of the backends.
     pub idle_timeout: Duration,
-    /// How long after the notice of a drain a request may still be sent.
+    /// How long after the notification of a drain a request may still be sent.
     pub drain_deadline: Duration,
 }
 
@@ -110,7 +110,7 @@
         self.limits.set(PoolLimits { connect_timeout, idle_timeout, drain_deadline, ..limits });
     }
 
-    /// Returns how long after the notice of a drain a request may still be sent.
+    /// Returns how long after the notification of a drain a request may still be sent.
     pub fn drain_deadline(&self) -> Duration {
         self.limits.get().drain_deadline
     }
@@ -190,7 +190,7 @@
                 self.evict_oldest_idle();
                 let permit = self.permits.clone().acquire_owned();
                 let permit = timeout(self.limits.get().connect_timeout, permit).await;
-                // Without a permit the request is not sent, which tells nothing about the backend.
+                // Without a permit the request is not sent, which says nothing about the backend.
                 permit.ok().and_then(Result::ok).ok_or(Outcome::NotSent)?
             }
         };
--- a/crates/proxy/src/upstream/repeat_filter/distinct_run.rs
+++ b/crates/proxy/src/upstream/repeat_filter/distinct_run.rs
@@ -19,7 +19,7 @@
         self.distinct_since_equal.set(self.distinct_since_equal.get().map(|count| count.saturating_add(1)));
     }
 
-    /// Records that different requests received an equal response, as far as can be told.
+    /// Records that different requests received an equal response, as far as is known.
     pub(super) fn record_equal(&self) {
         self.distinct_since_equal.set(Some(0));
     }
--- a/crates/proxy/src/upstream/repeat_filter/equal_contents.rs
+++ b/crates/proxy/src/upstream/repeat_filter/equal_contents.rs
@@ -13,7 +13,7 @@
 pub(super) struct ConnectionNumber(pub(super) u64);
 
 /// The contents that a backend sends to different requests. A copy arrives on the connection of its response,
-/// so equal contents on two connections are no copies.
+/// so equal contents on two connections are not copies.
 #[derive(Default)]
 pub(super) struct EqualContents {
     /// Oldest first.
@@ -23,8 +23,8 @@
 }
 
 impl EqualContents {
-    /// Returns whether different requests received this content, so that equal responses of it are no sign of
-    /// a copy.
+    /// Returns whether different requests received this content, so that equal responses of it do not
+    /// indicate a copy.
     pub(super) fn contains(&self, content: ContentHash) -> bool {
         self.known.contains(&content)
     }
--- a/crates/proxy/src/upstream/repeat_filter/hold.rs
+++ b/crates/proxy/src/upstream/repeat_filter/hold.rs
@@ -6,9 +6,9 @@
 /// How long a response is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct HoldTimes {
-    /// Time enough for the response after a copy, if it takes no longer than other responses.
+    /// Long enough for the response after a copy to arrive if it takes no longer than other responses.
     pub(super) usual: Duration,
-    /// Time enough for the response after a copy in any case.
+    /// Long enough for the response after a copy to arrive in any case.
     pub(super) longest: Duration,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// What is held.
+/// The kind of the held bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeldKind {
     /// The start of bytes that may be a copy.
@@ -28,16 +28,16 @@
     Complete,
 }
 
-/// A response that is held, or that was forwarded before it was known to be no copy.
+/// A response that is held, or that was forwarded before it was known not to be a copy.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Hold {
-    /// What is held.
+    /// The kind of the held bytes.
     pub(super) kind: HeldKind,
     /// When the response arrived.
     pub(super) began_at: Instant,
     /// When the response is forwarded, so that its client receives it in time.
     pub(super) release_at: Instant,
-    /// When the response is known to be no copy, if nothing has followed it.
+    /// When the response is known not to be a copy, if nothing has followed it.
     pub(super) decided_at: Instant,
 }
 
--- a/crates/proxy/src/upstream/repeat_filter/mod.rs
+++ b/crates/proxy/src/upstream/repeat_filter/mod.rs
@@ -1,9 +1,9 @@
 //! Removes copies of responses from the bytes that a backend sends.
 //!
 //! Some backends send a response a second time, some milliseconds after the first. In HTTP/1.1 only the bytes
-//! can tell such a copy from the response to the next request on the same connection. The bytes that arrive
-//! for a request are held as long as they equal a response that is remembered on the connection. Bytes that
-//! differ are forwarded unchanged.
+//! can distinguish such a copy from the response to the next request on the same connection. The bytes that
+//! arrive for a request are held as long as they equal a response that is remembered on the connection. Bytes
+//! that differ are forwarded unchanged.
 //!
 //! Held bytes that equal a complete remembered response are a copy if the backend is known to repeat, or if
 //! more bytes follow. If none follow within the time that the backend's responses take, the held bytes are
@@ -55,10 +55,10 @@
     current: CurrentResponse,
     /// Bytes that may be a copy.
     held: BytesMut,
-    /// How long the bytes are held. Remains set after they were forwarded without knowing that they were no
-    /// copy.
+    /// How long the bytes are held. Remains set after they were forwarded without knowing that they were not
+    /// a copy.
     hold: Option<Hold>,
-    /// How long the current response was held although it was no copy.
+    /// How long the current response was held although it was not a copy.
     held_for: Duration,
     /// When the current request was written.
     request_began_at: Option<Instant>,
@@ -102,7 +102,7 @@
         self.response_expires_at = Some(expires_at);
     }
 
-    /// Returns how long the current response was held although it was no copy.
+    /// Returns how long the current response was held although it was not a copy.
     pub(super) fn held_for(&self) -> Duration {
         self.held_for
     }
@@ -115,7 +115,7 @@
         }
         history.forget_old_delays(now);
         if self.hold.take().is_some_and(|hold| hold.is_decided(now)) {
-            // Nothing followed a response that was forwarded before it was known to be no copy.
+            // Nothing followed a response that was forwarded before it was known not to be a copy.
             if let Some(last) = self.remembered.last() {
                 history.record_equal(&last.content);
             }
@@ -210,7 +210,7 @@
     }
 
     /// Processes held bytes that start with a remembered response: drops a copy, or forwards the response to
-    /// the current request. Returns `false` if the two can't be told apart yet.
+    /// the current request. Returns `false` if the two can't be distinguished yet.
     fn process_equal(&mut self, index: usize, history: &RepeatHistory, now: Instant) -> bool {
         let remembered = self.remembered.get(index);
         let is_followed = self.held.len() > remembered.content.length();
@@ -273,7 +273,7 @@
     }
 
     /// Forwards bytes whose hold time is over. The connection remains under observation until they are known
-    /// to be no copy.
+    /// not to be a copy.
     fn release_held(&mut self, history: &RepeatHistory, now: Instant) {
         let Some(hold) = self.hold.filter(|hold| hold.release_at <= now) else { return };
         if self.held.is_empty() || self.is_expected_copy(hold, history, now) {
@@ -293,7 +293,7 @@
         self.forward_response();
     }
 
-    /// Forwards the held bytes. They are no copy, and neither is the rest of their response.
+    /// Forwards the held bytes. They are not a copy, and neither is the rest of their response.
     fn forward_response(&mut self) {
         let held = self.held.split();
         self.forward(&held);
@@ -356,8 +356,8 @@
     }
 
     /// Returns whether the connection can carry no further request. A copy of a response that is not
-    /// remembered at all could not be told from the next response. If the backend is known to repeat,
-    /// responses have to be remembered in full.
+    /// remembered at all could not be distinguished from the next response. If the backend is known to
+    /// repeat, responses have to be remembered in full.
     pub(super) fn is_unusable(&self, history: &RepeatHistory, now: Instant) -> bool {
         let may_be_ambiguous = self.current.is_too_long_to_keep() || self.may_be_desynchronized;
         self.has_unremembered_response || history.repeats(now) && may_be_ambiguous
--- a/crates/proxy/src/upstream/repeat_filter/repeat_history.rs
+++ b/crates/proxy/src/upstream/repeat_filter/repeat_history.rs
@@ -1,4 +1,4 @@
-//! What is known about copies that a backend sends.
+//! The history of the copies that a backend sends.
 
 use super::distinct_run::DistinctRun;
 use super::equal_contents::{ConnectionNumber, EqualContents};
@@ -19,7 +19,7 @@
 const MIN_COPY_WINDOW: Duration = Duration::from_millis(250);
 /// The minimum cooldown of a connection. It is short because a replacement connection costs the backend work.
 const MIN_COOLDOWN_TIME: Duration = Duration::from_millis(50);
-/// The maximum time for which a copy is expected. A later copy can't be told from a response.
+/// The maximum time for which a copy is expected. A later copy can't be distinguished from a response.
 const MAX_COPY_WINDOW: Duration = Duration::from_secs(2);
 /// The response after a copy arrives within this many times the slowest recent response time of the backend.
 const HOLD_FACTOR: u32 = 8;
@@ -36,7 +36,7 @@
 /// periods.
 const RESPONSE_TIME_PERIOD: Duration = Duration::from_secs(10);
 
-/// What is known about the copies that one process of a backend sends.
+/// The history of the copies that one process of a backend sends.
 pub(in crate::upstream) struct RepeatHistory {
     /// The address of the process, for the log.
     address: SocketAddr,
@@ -108,7 +108,7 @@
         (self.max_copy_delay.get() * COPY_DELAY_FACTOR).clamp(MIN_COOLDOWN_TIME, MAX_COPY_WINDOW)
     }
 
-    /// Records a response that was forwarded and was no copy.
+    /// Records a response that was forwarded and was not a copy.
     pub(super) fn record_response(&self, content: &ResponseContent) {
         if self.last_response.replace(Some(content.hash())) == Some(content.hash()) {
             self.sends_equal_responses.set(true);
@@ -154,12 +154,12 @@
     }
 
     /// Returns whether different requests are known to have received this content, so that an equal response
-    /// is no sign of a copy.
+    /// does not indicate a copy.
     pub(super) fn is_known_equal(&self, content: &ResponseContent) -> bool {
         self.equal_contents(content.kind()).borrow().contains(content.hash())
     }
 
-    /// Errors are kept apart: they are usually equal and tell nothing about other responses.
+    /// Errors are recorded separately: they are usually equal and say nothing about other responses.
     fn equal_contents(&self, kind: ResponseKind) -> &RefCell<EqualContents> {
         match kind {
             ResponseKind::Served => &self.equal_served,
--- a/crates/proxy/src/upstream/repeat_filter/response_bytes.rs
+++ b/crates/proxy/src/upstream/repeat_filter/response_bytes.rs
@@ -1,4 +1,4 @@
-//! Finds the limits of responses in the bytes of a connection.
+//! Finds the boundaries of responses in the bytes of a connection.
 
 /// The start of every response.
 const RESPONSE_START: &[u8] = b"HTTP/1.";
--- a/crates/proxy/src/upstream/repeat_filter/response_content.rs
+++ b/crates/proxy/src/upstream/repeat_filter/response_content.rs
@@ -1,4 +1,4 @@
-//! What is kept of a response to recognize its copies.
+//! The part of a response that is kept to recognize its copies.
 
 use super::response_bytes::{final_response, is_interim, is_served};
 use crate::transport::MAX_HEAD_BYTES;
--- a/crates/proxy/src/upstream/repeat_filter/tests.rs
+++ b/crates/proxy/src/upstream/repeat_filter/tests.rs
@@ -213,7 +213,7 @@
     assert_eq!(fixture.filter.held_for(), Duration::from_millis(100));
 }
 
-/// Creates a connection on which an equal response was forwarded before it was known to be no copy.
+/// Creates a connection on which an equal response was forwarded before it was known not to be a copy.
 fn forwarded_early() -> Fixture {
     let mut fixture = Fixture::new_backend();
     let first = response(200, "first");
@@ -345,7 +345,7 @@
     assert_eq!(fixture.receive(&second).expect("response"), second);
 }
 
-/// Equal served responses tell nothing about errors.
+/// Equal served responses say nothing about errors.
 #[test]
 fn equal_error_is_held_despite_known_equal_responses() {
     let mut fixture = Fixture::new_backend();
@@ -470,7 +470,7 @@
     assert!(Fixture::new_backend().exchange(&long, false));
 }
 
-/// A copy of a response that is too long to be compared could not be told from the next response.
+/// A copy of a response that is too long to be compared could not be distinguished from the next response.
 #[test]
 fn connection_ends_after_an_unremembered_response() {
     let longest =
@@ -848,7 +848,7 @@
     assert_eq!(hold_time_of_equal(&mut fixture, "equal"), usual);
 }
 
-/// Errors are usually equal, so an equal one is no sign of a copy.
+/// Errors are usually equal, so an equal one does not indicate a copy.
 #[test]
 fn rare_equal_error_is_held_as_usual() {
     let mut fixture = Fixture::with_distinct_responses(MANY_RESPONSES);
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The `Host` of a request that came without one. Backends have always received this name.
+/// The `Host` header for a request received without one. Backends have always received this name.
 const DEFAULT_HOST: HeaderValue = HeaderValue::from_static("heathroad");
 
 /// The parts of a request that all of its attempts share.
