--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -16,7 +16,7 @@
     QueueTimeout,
     /// The request waited behind others of its ordering key for the longest time allowed.
     KeyQueueTimeout,
-    /// Too little time is left before the deadline of its client.
+    /// Too little time is left before the client's deadline.
     DeadlineTooClose,
     /// All attempts ended without being served, and another one is not allowed or would be too late.
     AttemptsFailed,
@@ -48,7 +48,7 @@
         /// Time at which the attempt is abandoned.
         expires_at_ms: f64,
     },
-    /// Final answer: rejected. A retry by the client is harmless.
+    /// Give the final answer that the request was rejected. A retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
@@ -57,7 +57,7 @@
         /// Why it was not served.
         reason: UnservedReason,
     },
-    /// Final answer: failed. The request may have run.
+    /// Give the final answer that the request failed. The request may have run.
     Fail {
         /// The request.
         request: RequestId,
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -7,7 +7,7 @@
 pub enum Event {
     /// The endpoint list, or changes to it.
     EndpointList {
-        /// How the list relates to the one that the instance holds.
+        /// How the list relates to the current list of the instance.
         kind: EndpointListKind,
         /// The endpoints of the list.
         endpoints: Vec<EndpointInfo>,
@@ -81,12 +81,12 @@
     pub cell: u16,
 }
 
-/// How an endpoint list relates to the one that the instance holds.
+/// How an endpoint list relates to the current list of the instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
     /// The full list. Backends that it does not contain were removed.
     Full,
-    /// Only the endpoints that changed.
+    /// Changes: only the endpoints that changed.
     Delta,
     /// The full list as last received, which may be out of date.
     Cached,
--- a/crates/balancer/src/api/mod.rs
+++ b/crates/balancer/src/api/mod.rs
@@ -17,9 +17,8 @@
     SettingsUpdate, Tenant,
 };
 
-/// Longest time in milliseconds until an instance counts as notified of a change that discovery has,
-/// provided that discovery can be reached, whatever calls failed, were rejected or were abandoned in
-/// between.
+/// Maximum time in milliseconds until an instance counts as notified of a change that discovery has, provided
+/// that discovery can be reached, even if polls failed, were rejected or were abandoned in between.
 pub const NOTIFICATION_DEADLINE_MS: f64 = 6000.0;
 
 /// Identifies a client request within one instance; never reused.
@@ -33,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
 
-/// Gauges of the present state of an instance.
+/// Gauges of the current state of an instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Gauges {
     /// Requests that are pending or have attempts in flight.
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -96,20 +96,20 @@
     pub can_cancel: bool,
     /// Whether rejected clients are sent a `Retry-After`.
     pub sends_retry_after: bool,
-    /// Longest `Retry-After` delay that a client respects.
+    /// Maximum `Retry-After` delay that a client respects.
     pub max_retry_after_ms: f64,
-    /// Most attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
 }
 
 /// Guarantees of the deployment, and requirements that it makes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Guarantees {
-    /// Least fraction of its full capacity that a backend has when it starts.
+    /// Minimum fraction of its full capacity that a backend has when it starts.
     pub initial_capacity_fraction: f64,
-    /// Longest time until a started backend is warm.
+    /// Maximum time until a started backend is warm.
     pub warm_up_ms: f64,
-    /// Multiple of its present capacity above which a backend that is warming up fails.
+    /// Multiple of its current capacity above which a backend that is warming up fails.
     pub overload_multiple: f64,
     /// In poll mode: longest time without a poll after which a change still counts as notified.
     pub poll_within_ms: f64,
@@ -139,6 +139,6 @@
     pub continued_classes: Vec<Option<u16>>,
     /// The same for each tenant.
     pub continued_tenants: Vec<Option<u16>>,
-    /// Hash of the other configuration with the same version: another value means other content.
+    /// Hash of the rest of the configuration that has this version: another value means other content.
     pub content_hash: u64,
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -72,7 +72,7 @@
         self.policy.backends.len()
     }
 
-    /// Returns the present state of the instance.
+    /// Returns the current state of the instance.
     pub fn gauges(&self) -> Gauges {
         Gauges {
             requests: self.policy.requests.len(),
--- a/crates/balancer/src/collections/suspensions.rs
+++ b/crates/balancer/src/collections/suspensions.rs
@@ -28,7 +28,7 @@
         self.suspended.contains_key(&id)
     }
 
-    /// Suspends an id; `was_member` is whether it was in use.
+    /// Suspends an id; `was_member` states whether it was in use.
     pub fn suspend(&mut self, id: K, was_member: bool) {
         self.suspended.insert(id, was_member);
     }
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -6,11 +6,11 @@
 
 /// Priority weights that differ by less than this share a slice.
 const WEIGHT_TOLERANCE: f64 = 1e-9;
-/// Longest queueing time in the first tier, as a fraction of the latency objective.
+/// Maximum queueing time in the first tier, as a fraction of the latency objective.
 const QUEUE_TIME_FRACTION: f64 = 0.125;
-/// Longest queueing time in the tiers behind the first, as a fraction of the latency objective.
+/// Maximum queueing time in the tiers behind the first, as a fraction of the latency objective.
 const QUEUE_TIME_FRACTION_INNER_TIER: f64 = 0.5;
-/// Least burst of a tenant's quota, in requests.
+/// Minimum burst of a tenant's quota, in requests.
 const MIN_QUOTA_BURST: f64 = 2.0;
 
 impl Policy {
--- a/crates/balancer/src/policy/concurrency_limit.rs
+++ b/crates/balancer/src/policy/concurrency_limit.rs
@@ -7,21 +7,23 @@
 /// Mean latency at which the limit is full, as a fraction of the latency objective: longer queues overload
 /// the backends.
 const TARGET_OBJECTIVE_FRACTION: f64 = 0.3;
-/// Least target latency as a multiple of the baseline: below it random variation alone would cut the limit.
+/// Minimum target latency as a multiple of the baseline. Below it, random variation alone would cut the
+/// limit.
 const BASELINE_TOLERANCE: f64 = 1.3;
 /// Samples that a mean latency covers.
 const MEAN_LATENCY_SAMPLES: f64 = 100.0;
-/// Largest ratio to the mean or the target with which one response counts: a heavy tail is not a queue.
+/// Maximum ratio to the mean or the target with which one response counts, since a heavy tail does not
+/// indicate a queue.
 pub const MAX_LATENCY_RATIO: f64 = 6.0;
 /// Share of drops above which the limit is cut: smaller shares come from single bad selections.
 const DROP_TOLERANCE: f64 = 0.05;
-/// Least number of outcomes in a window, and of samples in a mean latency, for either to be used.
+/// Minimum number of outcomes in a window, and of samples in a mean latency, for either to be used.
 const MIN_WINDOW_SAMPLES: f64 = 10.0;
-/// Least factor by which one window changes the limit, because its outcomes may be due to chance.
+/// Minimum factor by which one window changes the limit, because its outcomes may be due to chance.
 const MIN_STEP: f64 = 0.7;
-/// Largest factor by which one window changes the limit.
+/// Maximum factor by which one window changes the limit.
 const MAX_STEP: f64 = 1.5;
-/// Share of the limit in flight from which on the limit may grow.
+/// Share of the limit that must be in flight for the limit to grow.
 const SATURATION_FRACTION: f64 = 0.8;
 /// Share of the limit in flight below which the instance counts as unloaded.
 const LIGHT_LOAD_FRACTION: f64 = 0.5;
--- a/crates/balancer/src/policy/endpoints.rs
+++ b/crates/balancer/src/policy/endpoints.rs
@@ -6,14 +6,14 @@
 use crate::collections::ByClass;
 use crate::stats::PriorMean;
 
-/// Longest delay before a poll in milliseconds. The rest of the notification deadline is left for the
+/// Maximum delay before a poll in milliseconds. The rest of the notification deadline is left for the
 /// polls.
 const MAX_POLL_DELAY_MS: f64 = NOTIFICATION_DEADLINE_MS / 3.0;
 /// Delay after a first failed poll, as a fraction of the longest delay.
 const POLL_RETRY_BASE_FRACTION: f64 = 0.5;
 /// Doublings of the retry delay: from the second failure on it is the longest delay.
 const MAX_POLL_RETRY_DOUBLINGS: u32 = 1;
-/// Largest fraction by which jitter shortens the retry delay.
+/// Maximum fraction by which jitter shortens the retry delay.
 const POLL_JITTER_FRACTION: f64 = 0.5;
 
 impl Policy {
@@ -61,8 +61,7 @@
         self.close_idle_connections(id);
     }
 
-    /// Resets a backend whose process was replaced: of what was known, only its endpoint and its calls are
-    /// kept.
+    /// Resets a backend whose process was replaced: only its endpoint and its calls are kept of its record.
     fn reset_backend(&mut self, id: BackendId) {
         let old = self.backends.remove(&id).unwrap_or_default();
         let mut backend = Backend {
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -29,7 +29,8 @@
 const PERIODIC_TIMER: TimerToken = TimerToken(0);
 /// Timer of the next poll of the endpoint list.
 const POLL_TIMER: TimerToken = TimerToken(1);
-/// Ticks between two periodic runs: few enough to handle queues in time, many enough to keep the cost low.
+/// Ticks between two periodic runs: few enough that queues are handled in time, and enough to keep the cost
+/// low.
 const PERIOD_TICKS: f64 = 10.0;
 /// Decay time, in milliseconds, of the peak of calls in flight, which keeps the subset wide.
 const PEAK_IN_FLIGHT_DECAY_MS: f64 = 5000.0;
--- a/crates/balancer/src/policy/outlier_detection.rs
+++ b/crates/balancer/src/policy/outlier_detection.rs
@@ -8,14 +8,14 @@
 
 /// First ejection time in milliseconds; it doubles with each failed probe request.
 const EJECTION_BASE_MS: f64 = 2000.0;
-/// Most doublings of the ejection time.
+/// Maximum number of doublings of the ejection time.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// First ejection time for a non-idempotent class in milliseconds: a failed probe costs a client's request
-/// there, and a wrong ejection ends with the next response.
+/// First ejection time for a non-idempotent class in milliseconds: there a failed probe costs a client's
+/// request, and a wrong ejection ends with the next response.
 const NON_IDEMPOTENT_EJECTION_BASE_MS: f64 = 8000.0;
-/// Most doublings of the ejection time for a non-idempotent class.
+/// Maximum number of doublings of the ejection time for a non-idempotent class.
 const MAX_NON_IDEMPOTENT_EJECTION_DOUBLINGS: u32 = 1;
-/// Largest ejected fraction of the ring: if more backends fail, the fault is shared and not their own.
+/// Maximum ejected fraction of the ring: if more backends fail, the fault is shared and not their own.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 /// Weight of one outcome in a backend's error rate.
 const ERROR_WEIGHT: f64 = 0.125;
@@ -39,7 +39,7 @@
 const MIN_LATENCY_SAMPLES: f64 = 8.0;
 /// Samples that a backend's relative latency covers.
 const MAX_LATENCY_SAMPLES: f64 = 16.0;
-/// Number of samples as which the assumption counts that a new backend is average.
+/// Number of samples that the initial assumption of an average latency counts as for a new backend.
 const PRIOR_LATENCY_SAMPLES: f64 = 4.0;
 /// Weight of one response in the mean latency over all backends.
 const OVERALL_LATENCY_WEIGHT: f64 = 0.02;
@@ -49,8 +49,8 @@
 const MIN_MISSED_RESPONSES: f64 = 8.0;
 /// Mean latencies without a response above which a backend may be unresponsive.
 const MIN_SILENCE_LATENCIES: f64 = 2.0;
-/// Time since the last response of any backend, as a fraction of one backend's silence, from which on all
-/// backends count as silent.
+/// Fraction of the time that a backend has been silent: if no backend has responded for at least that long,
+/// all of them count as silent, and the backend is not ejected.
 const MAX_SILENCE_RATIO_OF_OTHERS: f64 = 0.25;
 /// Mean latencies for which a call may hold a slot of the limit. With exponentially distributed latencies,
 /// 2 in 100 calls take longer.
@@ -235,8 +235,8 @@
 
     /// Ejects the backends that are unresponsive while others respond, for all classes or for one.
     pub fn eject_unresponsive(&mut self) {
-        // A backend without calls in flight owes no response. The cost depends on the calls, not on the
-        // length of the endpoint list.
+        // No response is due from a backend without calls in flight. The cost depends on the calls, not on
+        // the length of the endpoint list.
         let busy = self.ready_backends().filter(|(_, backend)| !backend.calls.is_empty());
         let busy: Vec<BackendId> = busy.map(|(id, _)| id).collect();
         for class in std::iter::once(None).chain((0..self.classes.len()).map(Some)) {
--- a/crates/balancer/src/policy/reconfigure.rs
+++ b/crates/balancer/src/policy/reconfigure.rs
@@ -5,7 +5,7 @@
 use crate::api::{Class, SettingsUpdate};
 
 impl Policy {
-    /// Replaces the settings in force and adapts what depends on them.
+    /// Replaces the settings in force and adapts the state that depends on them.
     pub fn replace_settings(&mut self, now_ms: f64, update: SettingsUpdate) {
         self.now_ms = now_ms;
         let had_idle_release_limit = self.settings.guarantees.idle_release_ms > 0.0;
--- a/crates/balancer/src/policy/request_lifecycle.rs
+++ b/crates/balancer/src/policy/request_lifecycle.rs
@@ -36,7 +36,7 @@
             return;
         }
         self.limit.is_saturated |= !may_wait_until_objective;
-        // A client's last retry may have less time left than the next periodic run takes to come: it is
+        // A client's last retry may have less time left than there is until the next periodic run, so it is
         // never queued.
         let is_queue_full = self.slices.queued() as f64 >= self.limit.total();
         if last_start_ms <= self.now_ms {
@@ -91,7 +91,7 @@
         let attempt = request.attempts.last_mut().filter(|attempt| attempt.is_in_flight);
         let Some(attempt) = attempt else { return };
         let Some(backend) = self.backends.get_mut(&attempt.endpoint.backend) else { return };
-        // A backend without calls in flight owed no response: its silence begins now.
+        // No response was due from a backend without calls in flight: its silence begins now.
         if backend.calls.is_empty() {
             backend.health[None].last_response_at_ms = self.now_ms;
         }
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Queues a request that never ran again while it has time and an attempt left, and ends it otherwise.
-    /// A request past the attempt limit would be queued again for ever without being sent.
+    /// Queues again a request that never ran, while it has time and an attempt left, and ends it otherwise. A
+    /// request past the attempt limit would be queued again forever without being sent.
     fn requeue_or_end(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         let never_ran = request.possibly_executed_attempt().is_none();
--- a/crates/balancer/src/policy/retry.rs
+++ b/crates/balancer/src/policy/retry.rs
@@ -6,7 +6,7 @@
 
 /// Budget for retries of requests that may have run, per request: more would allow a retry storm.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Least burst of the retry budget, in retries.
+/// Minimum burst of the retry budget, in retries.
 pub const MIN_RETRY_BURST: f64 = 10.0;
 
 impl Policy {
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -9,14 +9,14 @@
 const ERROR_RATE_COST: f64 = 8.0;
 /// Cost of crossing zones, in calls in flight, if crossing has a price.
 const CROSS_ZONE_COST_CALLS: f64 = 0.5;
-/// Least weight of a backend in its cost.
+/// Minimum weight of a backend in its cost.
 const MIN_WEIGHT: f64 = 0.01;
-/// Most random draws to find two eligible backends.
+/// Maximum number of random draws to find two eligible backends.
 const MAX_DRAWS: usize = 12;
 
 impl Policy {
     /// Selects the cheaper of two random eligible members of the subset. Backends outside of the subset are
-    /// used only if no member is eligible, and ejected backends only if no other is left.
+    /// used only if no member is eligible, and ejected backends only if there is no other.
     pub fn select_backend(&mut self, id: RequestId) -> Option<BackendId> {
         let request = self.requests.get(&id)?;
         let mut rng = self.rng.clone();
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -35,8 +35,7 @@
     }
 
     /// Refills the budgets by the highest response rate that backends have proved to reach, scaled to their
-    /// present capacity. The current response rate is low while many backends are warming up or all are
-    /// idle.
+    /// current capacity. The current response rate is low while many backends are warming up or all are idle.
     pub fn refill_slow_start_budgets(&mut self, elapsed_ms: f64) {
         let rate = self.limit.responses_per_warm_backend_ms;
         self.response_rate.update(rate, (elapsed_ms / RESPONSE_RATE_AVERAGE_MS).min(1.0));
@@ -46,7 +45,7 @@
             PEAK_RESPONSE_RATE_DECAY_MS,
         );
         // The tier is able to serve the quotas of its tenants. While all backends are warming up, there are
-        // hardly any responses to learn the rate from.
+        // hardly any responses from which to learn the rate.
         let quota: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s / 1000.0).sum();
         let instances = f64::from(self.settings.instance_count);
         let quota_rate = quota / instances / (self.subset.ring().len() as f64).max(1.0);
--- a/crates/balancer/src/policy/subset.rs
+++ b/crates/balancer/src/policy/subset.rs
@@ -5,14 +5,14 @@
 use crate::api::BackendId;
 use crate::collections::ring_window;
 
-/// Least size of the subset, which leaves two choices when a member or two are ejected.
+/// Minimum size of the subset, which leaves two choices when one or two members are ejected.
 const MIN_SUBSET_SIZE: f64 = 5.0;
-/// Least number of instances per backend, so that no backend depends on a single instance.
+/// Minimum number of instances per backend, so that no backend depends on a single instance.
 const MIN_INSTANCES_PER_BACKEND: f64 = 2.0;
 /// Calls in flight of this instance per member before the subset widens.
 const CALLS_PER_MEMBER: f64 = 1.0;
-/// Fraction by which the subset narrows per second: connections are costly, so it does not follow every
-/// lull.
+/// Fraction by which the subset narrows per second: connections are costly, so the subset does not follow
+/// every short drop in load.
 const NARROWING_FRACTION_PER_S: f64 = 0.03;
 /// Initial limit in calls per member: growing from too low a limit takes seconds.
 const INITIAL_CALLS_PER_MEMBER: f64 = 4.0;
@@ -30,7 +30,7 @@
 const EXCESS_LATENCY_DECAY_MS: f64 = 8000.0;
 
 impl Policy {
-    /// Rebuilds the ring of ready backends and what depends on it.
+    /// Rebuilds the ring of ready backends and the state that depends on it.
     pub fn rebuild_ring(&mut self) {
         let had_backends = self.warm_capacity != 0.0;
         let ring: Vec<BackendId> = self.ready_backends().map(|(id, _)| id).collect();
@@ -56,8 +56,8 @@
             self.ready_backends().filter(|(_, backend)| !backend.health[None].ejection.is_active());
         let after: f64 = in_service.map(|(_, backend)| self.warm_up_fraction(backend)).sum();
         let before = std::mem::replace(&mut self.warm_capacity, after);
-        // The limit is scaled up as well as down: where backends leave and return all day, scaling it in
-        // one direction only would wear it down.
+        // The limit is scaled up as well as down: where backends are removed and added again all day, scaling
+        // it in one direction only would reduce it further each time.
         if before > 0.0 && after > 0.0 {
             self.limit.scale(before, after);
         }
--- a/crates/balancer/src/settings_format.rs
+++ b/crates/balancer/src/settings_format.rs
@@ -26,9 +26,9 @@
     pub connection_idle_ms: f64,
     /// Time after which a connection that is not established has failed.
     pub connect_timeout_ms: f64,
-    /// Largest number of open requests of an instance.
+    /// Maximum number of open requests of an instance.
     pub max_open_requests: usize,
-    /// Time after the notice of a drain within which sending to the backend must end.
+    /// Time after the notification of a drain within which sending to the backend must end.
     pub drain_deadline_ms: f64,
     /// Longest client timeout of all classes.
     pub longest_client_timeout_ms: f64,
--- a/crates/balancer/src/settings_validation.rs
+++ b/crates/balancer/src/settings_validation.rs
@@ -3,7 +3,7 @@
 
 use crate::api::{Settings, SettingsError, SettingsUpdate};
 
-/// Least latency objective in milliseconds: an objective of 0 would cause a division by zero.
+/// Minimum latency objective in milliseconds: an objective of 0 would cause a division by zero.
 const MIN_LATENCY_OBJECTIVE_MS: f64 = 1e-3;
 
 /// Checks the values; an error names the first invalid one by the path of its key.
@@ -43,7 +43,7 @@
     Err(SettingsError { field: field.into(), reason: "is missing, negative, not finite or out of range" })
 }
 
-/// Version of the settings in force, with a hash of the other configuration of that version.
+/// Version of the settings in force, with a hash of the rest of the configuration of that version.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SettingsVersion {
     /// The version number.
--- a/crates/balancer/src/stats/decaying_peak.rs
+++ b/crates/balancer/src/stats/decaying_peak.rs
@@ -17,7 +17,7 @@
         self.value = self.value.max(value);
     }
 
-    /// Records a value after `elapsed_ms`, during which the earlier maximum decays by that part of
+    /// Records a value after `elapsed_ms`, in which the earlier maximum decays by the fraction `elapsed_ms` /
     /// `duration_ms`.
     pub fn record_after(&mut self, value: f64, elapsed_ms: f64, duration_ms: f64) {
         self.value = value.max(self.value * (1.0 - elapsed_ms / duration_ms));
