--- a/crates/proxy/tests/accept_queue_delay.rs
+++ b/crates/proxy/tests/accept_queue_delay.rs
@@ -1,5 +1,5 @@
-//! Connections that wait in the accept queue of the system: the deadlines of their requests run meanwhile.
-//! The proxy is paused while the clients connect.
+//! Connections that wait in the kernel's accept queue: the deadlines of their requests run meanwhile. The
+//! proxy is paused while the clients connect.
 
 mod support;
 
@@ -141,8 +141,8 @@
     );
 }
 
-/// Guards against forwarding a request whose client has given up, and against leaving that client without an
-/// answer.
+/// Guards against forwarding a request whose client no longer waits, and against leaving that client without
+/// an answer.
 #[tokio::test]
 async fn expired_request_in_the_accept_queue_is_not_forwarded() {
     let fixture = Fixture::new().await;
--- a/crates/proxy/tests/admin.rs
+++ b/crates/proxy/tests/admin.rs
@@ -20,7 +20,7 @@
 fn config_with_admin_api(discovery: &Discovery) -> Value {
     let mut settings = settings();
     for class in settings["classes"].as_array_mut().expect("classes") {
-        // The longest time that a request waits for a backend.
+        // The maximum time that a request waits for a backend.
         class["aim"] = 500.0.into();
     }
     let mut config = discovery.config(settings);
@@ -118,7 +118,7 @@
 #[tokio::test]
 async fn drain_closes_client_connections_until_activated() {
     let fixture = fixture().await;
-    // Given: two clients with kept connections, and one that has sent nothing.
+    // Given: two clients with keep-alive connections, and one that has sent nothing.
     let (mut kept_client, mut idle_client) = (fixture.proxy.client().await, fixture.proxy.client().await);
     assert_eq!((kept_client.call("look").await.0, idle_client.call("look").await.0), (200, 200));
     let mut silent_client = TcpStream::connect(fixture.proxy.addr).await.expect("connect");
@@ -128,7 +128,7 @@
         assert_eq!(health_status(&fixture.proxy).await, 503);
     }
     assert_eq!(fixture.proxy.call_admin("GET", "/v1/readyz").await, 200, "the process itself is ready");
-    // Then: requests on kept and new connections are served, each as the last on its connection.
+    // Then: requests on keep-alive and new connections are served, each as the last on its connection.
     assert_eq!(kept_client.call("look").await.0, 200);
     in_time(kept_client.wait_until_closed()).await;
     let mut late_client = fixture.proxy.client().await;
@@ -227,7 +227,7 @@
 async fn upgrade_loses_no_connection() {
     // Given: two processes on one address, clients, and a request in flight at the first process.
     //
-    // Half of 256 descriptors would leave space for 42 clients, and the system distributes connections at
+    // Half of 256 descriptors would leave space for 42 clients, and the kernel distributes connections at
     // random between the processes. Beyond that the oldest idle client is evicted, which loses no request but
     // isn't what this test checks.
     let mut fixture = fixture_with_descriptors(512).await;
--- a/crates/proxy/tests/bodies.rs
+++ b/crates/proxy/tests/bodies.rs
@@ -130,7 +130,7 @@
         let call = request("once").body(Full::from(pattern(LARGE_BODY_BYTES))).expect("a valid request");
         assert_eq!(proxy.client().await.send(call).await, (200, "b".into()));
         assert_eq!(script.seen.borrow().len(), n);
-        // The backend closes the kept connection: the next upload must not lose bytes on it.
+        // The backend closes the keep-alive connection: the next upload must not lose bytes on it.
         b.close_idle_connections().await;
     }
 }
@@ -303,7 +303,7 @@
 }
 
 /// The proxy keeps reading the upload of a rejected client, however long that takes, so that the client gets
-/// its response and no reset.
+/// its response instead of a reset.
 #[tokio::test]
 async fn rejected_upload_is_read_to_its_end() {
     let script = Arc::new(BackendScript::default());
--- a/crates/proxy/tests/client_disconnect.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
 //! Nothing more is sent for a client that has disconnected, wherever its request or the next attempt is
-//! waiting. In these tests the proxy learns of the end of the wait before the disconnect or at the same time.
+//! waiting. In these tests the proxy detects the end of the wait before the disconnect or at the same time.
 
 mod support;
 
@@ -50,7 +50,7 @@
     matches!(how, Disconnect::Shutdown).then_some(client)
 }
 
-/// Waits until the system has received each client's FIN or RST on the proxy's side.
+/// Waits until the kernel has received each client's FIN or RST on the proxy's side.
 async fn wait_until_closes_arrived(proxy: &Proxy, clients: &[u16]) {
     let is_open = |row: &TcpTableEntry| {
         row.local_port == proxy.addr.port() && clients.contains(&row.remote_port) && row.state == ESTABLISHED
--- a/crates/proxy/tests/connection_close.rs
+++ b/crates/proxy/tests/connection_close.rs
@@ -1,5 +1,5 @@
 //! Responses and requests that are still due when a connection, a listener or the program closes. The tests
-//! pause the program while they arrange an unfavorable order of events in the system's queues, so that it
+//! pause the program while they arrange an unfavorable order of events in the kernel's queues, so that it
 //! finds this order in every run.
 
 mod support;
@@ -174,7 +174,7 @@
     assert_eq!(fixture.proxy.wait_for_exit().await.code(), Some(0));
 }
 
-/// The proxy doesn't know of the connections that the system has established and that are still in the accept
+/// The proxy doesn't know of the connections that the kernel has established and that are still in the accept
 /// queue.
 #[tokio::test]
 async fn backlog_is_served_when_the_listener_closes() {
@@ -200,7 +200,7 @@
     assert_eq!(fixture.proxy.wait_for_exit().await.code(), Some(0));
 }
 
-/// A response that its client has not read yet is buffered by the system when the proxy closes the
+/// A response that its client has not read yet is buffered by the kernel when the proxy closes the
 /// connection. A close with unread received bytes would reset the connection and discard the response.
 #[tokio::test]
 async fn response_survives_extra_bytes_from_its_client() {
@@ -276,7 +276,7 @@
     in_time(wait_for_connect_attempt(addr)).await;
     client.shutdown().await.expect("open");
     assert_eq!(read_status(&mut client).await, None, "the proxy has detected the disconnect");
-    // When: the accept queue gets space, and the system establishes the connection with its next retry.
+    // When: the accept queue gets space, and the kernel establishes the connection with its next retry.
     for _ in &backlog {
         drop(in_time(listener.accept()).await.expect("queued"));
     }
--- a/crates/proxy/tests/crossing_requests.rs
+++ b/crates/proxy/tests/crossing_requests.rs
@@ -49,7 +49,7 @@
     read_status(&mut stream).await
 }
 
-/// Does so on many connections at the same time.
+/// Sends such requests on many connections at the same time.
 async fn send_all_after_close_decision(streams: Vec<TcpStream>) -> Vec<Option<u16>> {
     let mut crossings = JoinSet::new();
     for (number, stream) in streams.into_iter().enumerate() {
--- a/crates/proxy/tests/descriptor_exhaustion.rs
+++ b/crates/proxy/tests/descriptor_exhaustion.rs
@@ -20,7 +20,7 @@
 
 /// The descriptor limit of the proxy.
 const DESCRIPTORS: usize = 128;
-/// The time after the notice of a drain during which a request may still be sent, by the settings.
+/// The time after the notification of a drain during which a request may still be sent, by the settings.
 const DRAIN_DEADLINE: Duration = Duration::from_millis(500);
 
 /// Clients that never send a complete request and reconnect at once when they are disconnected.
--- a/crates/proxy/tests/discovery_notification.rs
+++ b/crates/proxy/tests/discovery_notification.rs
@@ -1,6 +1,6 @@
-//! A list change counts as notified 6 s after discovery became reachable, whatever failures the proxy's calls
-//! met before. These tests run the proxy program where it must poll for its list. This deadline is their only
-//! time bound.
+//! A list change counts as notified 6 s after discovery became reachable, regardless of earlier failures of
+//! the proxy's calls. These tests run the proxy program where it must poll for its list. This deadline is
+//! their only time bound.
 
 mod support;
 
--- a/crates/proxy/tests/exchange_isolation.rs
+++ b/crates/proxy/tests/exchange_isolation.rs
@@ -1,6 +1,6 @@
-//! Bytes that one exchange leaves on a kept connection of either side never affect the next exchange: each
-//! request gets its own response, once, within its own deadline. The tests drive clients and backends byte by
-//! byte to force an order of events.
+//! Bytes that one exchange leaves on a keep-alive connection of either side never affect the next exchange:
+//! each request gets its own response, once, within its own deadline. The tests drive clients and backends
+//! byte by byte to force an order of events.
 
 mod support;
 
@@ -13,7 +13,7 @@
 
 /// A body size that is streamed: the proxy buffers bodies of at most 64 KiB.
 const STREAMED_BYTES: usize = 200_000;
-/// A body size that exceeds all that the system buffers while the proxy doesn't read.
+/// A body size that exceeds all that the kernel buffers while the proxy doesn't read.
 const LARGE_BODY_BYTES: usize = 30_000_000;
 /// The number of bytes that the proxy reads at once where it expects a head.
 const READ_BYTES: usize = 4096;
@@ -97,7 +97,7 @@
 #[tokio::test]
 async fn response_copy_during_an_upload_does_not_answer_it() {
     let fixture = Fixture::new(settings()).await;
-    // Given: a kept connection that carries the first half of an upload.
+    // Given: a keep-alive connection that carries the first half of an upload.
     let (mut connection, first) = fixture.kept_connection().await;
     let mut client = fixture.client().await;
     client.write(upload_head("upload", STREAMED_BYTES)).await;
@@ -131,7 +131,7 @@
     fixture.next_is_served_unless_closed(&mut client, &answer).await;
 }
 
-/// The same with a chunked upload, whose end only the HTTP library finds.
+/// The same holds for a chunked upload, whose end only the HTTP library finds.
 #[tokio::test]
 async fn request_after_an_early_answered_chunked_upload_is_served() {
     let fixture = Fixture::new(settings()).await;
@@ -200,7 +200,7 @@
     fixture.next_is_served_unless_closed(&mut client, &answer).await;
 }
 
-/// The same for an upload that is rejected because no backend became available in time.
+/// The same holds for an upload that is rejected because no backend became available in time.
 #[tokio::test]
 async fn upload_rejected_in_the_queue_is_read_to_its_end() {
     const MAX_QUEUE_WAIT_MS: f64 = 200.0;
@@ -216,7 +216,7 @@
     assert_eq!(client.read_answer().await.expect("a response").0, 503);
 }
 
-/// The same with a chunked upload, after which the connection is closed: the client must still get the
+/// The same holds for a chunked upload, after which the connection is closed: the client must still get the
 /// response.
 #[tokio::test]
 async fn chunked_upload_rejected_in_the_queue_is_read_to_its_end() {
@@ -412,7 +412,7 @@
 async fn response_to_an_abandoned_request_answers_no_other() {
     for is_timeout in [false, true] {
         let fixture = Fixture::new(settings()).await;
-        // Given: a request on a kept connection.
+        // Given: a request on a keep-alive connection.
         let (mut connection, _) = fixture.kept_connection().await;
         let mut client = fixture.client().await;
         let text = request_head("POST /once", "abandoned");
@@ -456,7 +456,7 @@
 async fn leftover_interim_response_answers_no_request() {
     const INTERIM: &str = "HTTP/1.1 103 X\r\nLink: </a>\r\n\r\n";
     let fixture = Fixture::new(settings()).await;
-    // Given: a kept connection, on which an interim response arrives after the next request was sent.
+    // Given: a keep-alive connection, on which an interim response arrives after the next request was sent.
     let (mut connection, _) = fixture.kept_connection().await;
     let mut client = fixture.client().await;
     client.write(request_head("POST /once", "second")).await;
@@ -486,7 +486,7 @@
 #[tokio::test]
 async fn aborted_upload_closes_its_backend_connection() {
     let fixture = Fixture::new(settings()).await;
-    // Given: the first half of a chunked upload on a kept connection.
+    // Given: the first half of a chunked upload on a keep-alive connection.
     let (mut connection, _) = fixture.kept_connection().await;
     let mut client = fixture.client().await;
     let chunk = format!("{:x}\r\n{}\r\n", STREAMED_BYTES, "u".repeat(STREAMED_BYTES));
@@ -513,7 +513,7 @@
     connection.write(response(200, "", "last")).await;
     assert_eq!(client.read_answer().await, Some((200, "last".into())));
     assert_eq!(client.read_to_close().await, b"");
-    // The next request on the kept backend connection is that of another client.
+    // The next request on the keep-alive backend connection is that of another client.
     let mut other = fixture.client().await;
     other.write(request_head("POST /once", "other")).await;
     assert_eq!(connection.read_request().await.expect("a request").0, "other");
--- a/crates/proxy/tests/first_response_copies.rs
+++ b/crates/proxy/tests/first_response_copies.rs
@@ -1,5 +1,5 @@
-//! Backends that send copies of their responses, which the proxy does not know yet: no client gets the first
-//! copies.
+//! Backends that send copies of their responses before the proxy has detected that they do: no client gets
+//! these first copies.
 //!
 //! A backend writes the copy of a response once it has read the next request on the connection, and the
 //! response to that request once the test opens the gate.
@@ -22,7 +22,7 @@
 const DEADLINE: Duration = Duration::from_secs(3);
 /// The deadline of requests that test short deadlines.
 const SHORT_DEADLINE: Duration = Duration::from_millis(300);
-/// The longest time from a deadline to the final answer; a request without an answer by then counts as lost.
+/// The maximum time from a deadline to the final answer; a request without an answer by then counts as lost.
 const MAX_LATENESS: Duration = Duration::from_millis(500);
 /// The latency objective in tests that depend on it.
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(200);
@@ -66,7 +66,7 @@
 /// The number of backends and the settings of the proxy.
 struct Deployment {
     backends: usize,
-    /// The longest time that a request waits for another attempt after its backend has declined it.
+    /// The maximum time that a request waits for another attempt after its backend has declined it.
     latency_objective: Duration,
 }
 
@@ -197,19 +197,20 @@
     assert_first_copy_is_dropped(3, CopyDelivery::Whole).await;
 }
 
-/// The same when nothing is known of the backend: its first response to the proxy has a copy.
+/// Guards against the same when nothing is known about the backend: its first response to the proxy has a
+/// copy.
 #[tokio::test]
 async fn copy_of_the_very_first_response_is_dropped() {
     assert_first_copy_is_dropped(0, CopyDelivery::Whole).await;
 }
 
-/// The same when the backend has sent many responses without copies.
+/// Guards against the same when the backend has sent many responses without copies.
 #[tokio::test]
 async fn first_copy_after_many_distinct_responses_is_dropped() {
     assert_first_copy_is_dropped(50, CopyDelivery::Whole).await;
 }
 
-/// Guards against passing the head of a copy on when it is received before the body.
+/// Guards against forwarding the head of a copy when it is received before the body.
 #[tokio::test]
 async fn first_copy_in_two_writes_is_dropped() {
     assert_first_copy_is_dropped(3, CopyDelivery::HeadThenBody).await;
@@ -242,7 +243,7 @@
     assert_delayed_response_is_awaited(Duration::from_millis(300)).await;
 }
 
-/// The same when a third of the deadline has passed.
+/// Guards against the same when a third of the deadline has passed.
 #[tokio::test]
 async fn first_copy_1_s_before_the_response_is_dropped() {
     assert_delayed_response_is_awaited(Duration::from_secs(1)).await;
@@ -293,7 +294,7 @@
     assert_first_chunked_copy_is_dropped(CopyDelivery::Whole).await;
 }
 
-/// Guards against passing the head of a chunked copy on, which states no length, when it is received before
+/// Guards against forwarding the head of a chunked copy, which states no length, when it is received before
 /// the body.
 #[tokio::test]
 async fn first_chunked_copy_in_two_writes_is_dropped() {
@@ -394,7 +395,8 @@
 }
 
 /// Guards against copies that the proxy reads on all connections in one turn, each together with the response
-/// that follows it: what the first copy shows of its backend is known too late for the others and for itself.
+/// that follows it: what the first copy shows about its backend is known too late for the others and for
+/// itself.
 #[tokio::test]
 async fn first_copies_read_with_the_responses_are_dropped() {
     let mut busy = BusyClients::new(CopyDelivery::WithResponse).await;
@@ -447,13 +449,13 @@
     assert_error_copy_is_dropped(1, 503, "Srv-Declined: 1\r\n", 3).await;
 }
 
-/// The same when the first response of the backend is a declined one.
+/// Guards against the same when the first response of the backend is a declined one.
 #[tokio::test]
 async fn copy_of_a_first_rejection_does_not_reject_the_next() {
     assert_error_copy_is_dropped(1, 503, "Srv-Declined: 1\r\n", 0).await;
 }
 
-/// The same when another backend is left to retry the request on, so that it would run twice.
+/// Guards against the same when another backend is left to retry the request on, so that it would run twice.
 #[tokio::test]
 async fn copy_of_a_rejection_does_not_cause_a_retry() {
     assert_error_copy_is_dropped(2, 503, "Srv-Declined: 1\r\n", 3).await;
@@ -465,7 +467,7 @@
     assert_error_copy_is_dropped(1, 500, "", 3).await;
 }
 
-/// The same when the first response of the backend is an error.
+/// Guards against the same when the first response of the backend is an error.
 #[tokio::test]
 async fn copy_of_a_first_error_does_not_fail_the_next_request() {
     assert_error_copy_is_dropped(1, 500, "", 0).await;
@@ -509,7 +511,7 @@
     assert_equal_responses_are_served(1, DEADLINE, |_| false).await;
 }
 
-/// The same on several connections at once.
+/// Guards against the same on several connections at once.
 #[tokio::test]
 async fn equal_responses_are_served_to_busy_clients() {
     assert_equal_responses_are_served(CONCURRENT_CLIENTS, DEADLINE, |_| false).await;
@@ -644,7 +646,7 @@
     let answer = held.received_within(SHORT_DEADLINE + MAX_LATENESS).await;
     assert!(answer.starts_with("HTTP/1.1 5"), "{answer}");
     assert!(!answer.starts_with("HTTP/1.1 503"), "a rejection although the request may have run: {answer}");
-    // When: the response is received. Then: it is not passed on, and further requests are served.
+    // When: the response is received. Then: it is not forwarded, and further requests are served.
     held.fixture.gate.open(1);
     assert_eq!(held.received_within(RESPONSE_DELAY).await, "", "a second answer");
     assert_eq!(answer.matches("HTTP/1.1").count(), 1, "{answer}");
@@ -685,20 +687,20 @@
     fixture.assert_own_responses(answers.into_iter().map(strip_padding).collect());
 }
 
-/// Guards against passing on the copy of a response that is too long to be stored as a whole for the
+/// Guards against forwarding the copy of a response that is too long to be stored as a whole for the
 /// comparison.
 #[tokio::test]
 async fn first_copy_of_a_long_response_is_dropped() {
     assert_first_copy_of_length_is_dropped(20 * 1024).await;
 }
 
-/// The same for responses that are longer than the buffer, and therefore streamed.
+/// Guards against the same for responses that are longer than the buffer, and therefore streamed.
 #[tokio::test]
 async fn first_copy_of_a_streamed_response_is_dropped() {
     assert_first_copy_of_length_is_dropped(100 * 1024).await;
 }
 
-/// The same for chunked responses, whose length is known only with the last chunk.
+/// Guards against the same for chunked responses, whose length is known only with the last chunk.
 #[tokio::test]
 async fn first_copy_of_a_streamed_chunked_response_is_dropped() {
     const PADDING_BYTES: usize = 100 * 1024;
@@ -731,7 +733,7 @@
     connection.read_request().await.expect("a request");
     let body = "x".repeat(100 * 1024);
     connection.write(response(200, "", &body)).await;
-    // Then: it is passed on, and its connection is closed.
+    // Then: it is forwarded, and its connection is closed.
     assert_eq!(client.read_answer().await, Some((200, body)));
     assert_eq!(connection.read_to_close().await, b"");
 }
@@ -864,7 +866,7 @@
     assert!(started_at.elapsed() < MAX_TIME, "{:?}", started_at.elapsed());
 }
 
-/// Guards against passing on a copy that is received while its request is still being written, because the
+/// Guards against forwarding a copy that is received while its request is still being written, because the
 /// longest hold time counts from when the copy was received.
 #[tokio::test]
 async fn copy_received_long_before_the_request_ends_is_dropped() {
--- a/crates/proxy/tests/new_clients_at_capacity.rs
+++ b/crates/proxy/tests/new_clients_at_capacity.rs
@@ -1,5 +1,5 @@
-//! New clients of a proxy at its connection limit, whose other clients retry without a pause, are answered
-//! too.
+//! New clients of a proxy at its connection limit, whose other clients retry without a pause, are answered as
+//! well.
 
 mod support;
 
@@ -22,7 +22,7 @@
 const SERVICE_TIME_MS: usize = 2000;
 /// The deadline of the request of a new client.
 const DEADLINE: Duration = Duration::from_secs(1);
-/// The longest time from the deadline of a new client to its answer or the close of its connection.
+/// The maximum time from the deadline of a new client to its answer or the close of its connection.
 const SLACK: Duration = Duration::from_millis(500);
 /// The number of new clients at the same time.
 const CONCURRENT_NEW_CLIENTS: usize = 4;
--- a/crates/proxy/tests/proxy.rs
+++ b/crates/proxy/tests/proxy.rs
@@ -95,7 +95,7 @@
 
 /// Checks that a request is retried after an attempt at an unreachable address. `b` declines the first
 /// attempt, so that the next one goes to the unreachable backend, and serves the third. A request that must
-/// not run twice gets that far only if each failure proves that nothing ran.
+/// not run twice reaches the third attempt only if each failure proves that nothing ran.
 async fn assert_retried_on_another_backend(addr: std::net::SocketAddr) {
     let script = Arc::new(BackendScript::default());
     let b = Backend::start("b", &script).await;
@@ -127,8 +127,8 @@
     }
     let connections = || fixture.a.total_connections() + fixture.b.total_connections();
     assert!(connections() <= 2, "{} connections", connections());
-    // When: the backends close the idle connections. A request on one of them would meet a reset, and an unsafe
-    // one would fail.
+    // When: the backends close the idle connections. A request on one of them would get a reset, and an
+    // unsafe one would fail.
     fixture.a.close_idle_connections().await;
     fixture.b.close_idle_connections().await;
     for _ in 0..20 {
@@ -160,8 +160,8 @@
     assert_eq!(fixture.proxy.call("once").await.0, 200);
 }
 
-/// Guards against a pool that uses its connections in turn: those that a burst left over become idle only if
-/// requests prefer the most recently used connection.
+/// Guards against a pool that uses its connections in turn: the additional ones opened by a burst become idle
+/// only if requests prefer the most recently used connection.
 #[tokio::test]
 async fn surplus_connections_become_idle_and_are_closed() {
     let script = Arc::new(BackendScript::default());
@@ -221,7 +221,7 @@
 
 #[tokio::test]
 async fn connect_completed_after_the_drain_grace_is_not_used() {
-    // Given: a connect that is still under way when its backend drains.
+    // Given: a connect that is still in progress when its backend drains.
     let (listener, queue_fillers) = listener_with_full_backlog().await;
     let addr = listener.local_addr().expect("bound");
     let discovery = Discovery::start(vec![endpoint("a", addr, "SERVING")]).await;
@@ -258,8 +258,8 @@
     assert_eq!(*fixture.script.abandoned.borrow(), attempts);
 }
 
-/// Guards against attempts that go on for a client that has disconnected. The close of its connection tells a
-/// backend to stop the work for an attempt.
+/// Guards against attempts that continue for a client that has disconnected. A backend stops the work for an
+/// attempt when its connection is closed.
 #[tokio::test]
 async fn client_disconnect_cancels_its_attempt() {
     for may_duplicate in [false, true] {
@@ -306,7 +306,7 @@
     (clients, releases)
 }
 
-/// Disconnects a client and waits until the proxy has noticed, which it shows by closing the connection.
+/// Disconnects a client and waits until the proxy has detected it and closed the connection.
 async fn disconnect(mut client: TcpStream) {
     client.shutdown().await.expect("open");
     in_time(client.read_to_end(&mut Vec::new())).await.expect("a close");
@@ -378,7 +378,7 @@
         "{status}: only 503 states that the request did not run"
     );
     assert!(started_at.elapsed() >= Duration::from_millis(500), "the request failed too early");
-    // Then: the close of the connection tells the backend that no client waits for the response any more.
+    // Then: the close of the connection shows the backend that no client waits for the response any more.
     assert_cancelled_soon(&fixture, 1).await;
 }
 
@@ -464,7 +464,7 @@
     let script = Arc::new(BackendScript::default());
     let a = Backend::start("a", &script).await;
     let discovery = Discovery::start(vec![a.endpoint("SERVING")]).await;
-    // Given: a descriptor limit of the system far below the configured one.
+    // Given: a descriptor limit of the operating system far below the configured one.
     let config = discovery.config(settings());
     let proxy = Proxy::start_with_command(&config, "ulimit -n 24; exec \"$0\"").await;
     discovery.wait_until_applied().await;
@@ -499,7 +499,7 @@
         silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system queues the connection"));
         silent.push(in_time(TcpStream::connect(proxy.addr)).await.expect("the system queues the connection"));
     }
-    // When: hundreds of silent clients connect.
+    // When: hundreds of clients that send nothing connect.
     let mut active = proxy.client().await;
     assert_eq!(active.call("look").await.0, 200);
     let started_at = Instant::now();
@@ -793,7 +793,7 @@
     a.wait_until_all_closed().await;
     assert_eq!(proxy.call("once").await.0, 200);
     assert_eq!((a.total_connections(), *a.open_connections.borrow()), (2, 1));
-    // When: the old backend leaves the list. Then: the new one keeps its connection.
+    // When: the old backend is removed from the list. Then: the new one keeps its connection.
     discovery.publish(vec![endpoint("new", a.addr, "SERVING"), b.endpoint("DRAINING")]).await;
     assert_eq!(proxy.call("once").await.0, 200);
     assert_eq!((a.total_connections(), *a.open_connections.borrow()), (2, 1));
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -112,7 +112,7 @@
         [("fragile", "retryable", "once", 502, 1), ("retryable", "fragile", "look", 200, 2)]
     {
         let script = Arc::new(BackendScript::default());
-        // The first attempt is broken off once the settings have changed.
+        // The first attempt is aborted once the settings have changed.
         let (break_connection, mut is_broken) = tokio::sync::watch::channel(false);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("bound");
@@ -315,7 +315,7 @@
     }
 }
 
-/// Guards against streaming on a long body after a reload has removed the class of its request: the
+/// Guards against continuing to stream a long body after a reload has removed the class of its request: the
 /// connection ends with the answer, and the bytes that follow are not read as a request.
 #[tokio::test]
 async fn body_is_not_read_on_once_its_class_is_removed() {
--- a/crates/proxy/tests/reload_faults.rs
+++ b/crates/proxy/tests/reload_faults.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// Guards against the same if the file is missing for a moment, as between a removal and a rename.
+/// Guards against the same if the file is missing for a short time, as between a removal and a rename.
 #[tokio::test]
 async fn discovery_move_is_applied_after_a_missing_file() {
     let mut fixture = start_fixture().await;
--- a/crates/proxy/tests/response_copies.rs
+++ b/crates/proxy/tests/response_copies.rs
@@ -12,13 +12,13 @@
 /// The time from a response to its copy.
 const COPY_DELAY: Duration = Duration::from_millis(3);
 
-/// The longest time that a request waits for another attempt after its backend has declined it.
+/// The maximum time that a request waits for another attempt after its backend has declined it.
 const MAX_QUEUE_TIME_MS: f64 = 200.0;
-/// The longest time of hundreds of requests in sequence if none of them is held until its deadline of 60 s.
+/// The maximum time of hundreds of requests in sequence if none of them is held until its deadline of 60 s.
 const MAX_EQUAL_RESPONSES_TIME: Duration = Duration::from_secs(10);
 /// The number of clients that send requests at the same time.
 const CONCURRENT_CLIENTS: usize = 5;
-/// The highest number of wrong responses that they get: one on each connection that a backend has before it
+/// The maximum number of wrong responses that they get: one on each connection that a backend has before it
 /// is known to send copies.
 const MAX_DELIVERED_COPIES: usize = 2 * CONCURRENT_CLIENTS;
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Guards against passing on a copy that is received in pieces, with a pause between them.
+/// Guards against forwarding a copy that is received in pieces, with a pause between them.
 #[tokio::test]
 async fn copy_in_two_writes_is_dropped() {
     assert_own_responses(|_, id| {
@@ -93,7 +93,7 @@
     .await;
 }
 
-/// Guards against passing on a copy that is received together with its response.
+/// Guards against forwarding a copy that is received together with its response.
 #[tokio::test]
 async fn copy_coalesced_with_its_response_is_dropped() {
     assert_own_responses(|_, id| vec![Step::Write(own_response(id).repeat(2))]).await;
@@ -122,7 +122,7 @@
     }
 }
 
-/// Guards against passing on a copy that the close of its connection truncates.
+/// Guards against forwarding a copy that the close of its connection truncates.
 #[tokio::test]
 async fn copy_cut_off_by_a_close_is_dropped() {
     assert_own_responses_or_errors(|_, id| {
@@ -133,7 +133,7 @@
     .await;
 }
 
-/// Guards against passing on copies of chunked responses.
+/// Guards against forwarding copies of chunked responses.
 #[tokio::test]
 async fn chunked_copy_is_dropped() {
     assert_own_responses(|_, id| {
@@ -143,7 +143,7 @@
     .await;
 }
 
-/// Guards against passing on copies of responses that follow an interim response, with and without the
+/// Guards against forwarding copies of responses that follow an interim response, with and without the
 /// interim response.
 #[tokio::test]
 async fn copy_after_an_interim_response_is_dropped() {
@@ -157,7 +157,7 @@
     .await;
 }
 
-/// Guards against passing on copies of responses, buffered and streamed ones, that are too long to be stored.
+/// Guards against forwarding copies of responses, buffered and streamed ones, that are too long to be stored.
 #[tokio::test]
 async fn copy_of_a_long_response_is_dropped() {
     for length in [20_000, 100_000] {
@@ -224,7 +224,7 @@
     assert_equal_responses_are_served(|_| true).await;
 }
 
-/// Guards against holding consecutive responses for long that are equal now and then without being copies.
+/// Guards against holding consecutive responses for long that are occasionally equal without being copies.
 #[tokio::test]
 async fn rare_equal_responses_without_copies_are_served() {
     const CALLS: usize = 200;
--- a/crates/proxy/tests/support/failing_calls.rs
+++ b/crates/proxy/tests/support/failing_calls.rs
@@ -28,7 +28,7 @@
         format!("FAILING_CALLS='{script}' LD_PRELOAD='{library}' exec \"$0\"")
     }
 
-    /// Makes a call fail with an error of the system from now on.
+    /// Makes a call fail with an error of the operating system from now on.
     pub fn fail(&self, call: &str, error: nix::errno::Errno) {
         std::fs::write(&self.script, format!("{call} {}\n", error as i32)).expect("write the file");
     }
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -48,7 +48,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::timeout;
 
-/// The longest time that a test waits for an expected event.
+/// The maximum time that a test waits for an expected event.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Awaits a future and panics if it takes longer than [`TEST_TIMEOUT`].
--- a/crates/proxy/tests/support/proxy.rs
+++ b/crates/proxy/tests/support/proxy.rs
@@ -228,7 +228,7 @@
         StartingProxy { temp_dir, config: path, child, log }
     }
 
-    /// Waits for a log line that contains `line_part`, which must come before the program listens.
+    /// Waits for a log line that contains `line_part`, which must be written before the program listens.
     pub async fn wait_for_log_line(&mut self, line_part: &str) {
         loop {
             let line =
--- a/crates/proxy/tests/support/raw_peers.rs
+++ b/crates/proxy/tests/support/raw_peers.rs
@@ -14,7 +14,7 @@
         RawConnection::new(connect_tcp(addr).await)
     }
 
-    /// Opens a connection with a small receive buffer, so that the system buffers few unread bytes.
+    /// Opens a connection with a small receive buffer, so that the kernel buffers few unread bytes.
     pub async fn connect_with_small_buffer(addr: SocketAddr) -> Self {
         const RECEIVE_BUFFER_BYTES: u32 = 2048;
         let socket = tokio::net::TcpSocket::new_v4().expect("create a socket");
--- a/crates/proxy/tests/support/sockets.rs
+++ b/crates/proxy/tests/support/sockets.rs
@@ -1,4 +1,4 @@
-//! Raw client sockets and listeners, and the system's table of TCP connections.
+//! Raw client sockets and listeners, and the kernel's table of TCP connections.
 
 use super::*;
 
@@ -26,7 +26,7 @@
     (socket, address)
 }
 
-/// Waits until the system's connection table shows a pending connect (SYN_SENT) to an address.
+/// Waits until the kernel's connection table shows a pending connect (SYN_SENT) to an address.
 pub async fn wait_for_connect_attempt(addr: SocketAddr) {
     const SYN_SENT: &str = "02";
     let port = format!(":{:04X}", addr.port());
@@ -69,7 +69,7 @@
     text.split(' ').nth(1)?.parse().ok()
 }
 
-/// An entry of the system's connection table.
+/// An entry of the kernel's connection table.
 pub struct TcpTableEntry {
     pub local_port: u16,
     pub remote_port: u16,
@@ -81,7 +81,7 @@
 /// The state of a connection on which neither side has closed its direction.
 pub const ESTABLISHED: u8 = 1;
 
-/// Reads the system's table of TCP connections.
+/// Reads the kernel's table of TCP connections.
 pub fn tcp_table() -> Vec<TcpTableEntry> {
     let port = |address: &str| u16::from_str_radix(address.rsplit(':').next()?, 16).ok();
     let row = |line: &str| {
@@ -101,7 +101,7 @@
 }
 
 /// Waits until connects to an address are refused. The pause between connects keeps the accept queue from
-/// filling up, as the system repeats a connect to a full queue only after 1 s.
+/// filling up, as the kernel repeats a connect to a full queue only after 1 s.
 pub async fn wait_until_listener_closed(addr: SocketAddr) {
     const CONNECT_INTERVAL: Duration = Duration::from_millis(5);
     in_time(async {
